--- a/passpost/ops/__init__.py
+++ b/passpost/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Daily operation: what operators call, and two versions at once. Loaded only where the configuration names `ops`."""
+"""Operators' calls, and the handover between two running versions. Imported only if the configuration has `ops`."""
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -1,4 +1,4 @@
-"""An engine that counts what becomes of requests. The plain one counts nothing and pays nothing for it."""
+"""An engine that counts how requests end. The plain engine does not count, so it has none of the cost."""
 
 from __future__ import annotations
 
@@ -8,74 +8,74 @@
 
 from passpost.engine import Caller, Engine
 from passpost.http1 import Answer
-from passpost.ops.tally import Counts, Tally
+from passpost.ops.metrics import ClassCounters, Metrics
 from passpost.streams import Sink, Source
 from passpost.upstreams.attempt import Outgoing
 
 
-class _Counted:
-    """Stands between the engine and a caller, and notes its one answer."""
+class _CountingCaller:
+    """Wraps a caller, and counts its answer before passing it on. Also the sink of an answer that comes in pieces."""
 
-    __slots__ = ("_caller", "_counts", "_is_open", "_sink", "_tally", "write")
+    __slots__ = ("_caller", "_counters", "_is_open", "_sink", "_totals", "write")
 
-    def __init__(self, caller: Caller, counts: Counts, tally: Tally) -> None:
-        self._caller, self._counts, self._tally, self._is_open = caller, counts, tally, True
+    def __init__(self, caller: Caller, counters: ClassCounters, totals: Metrics) -> None:
+        self._caller, self._counters, self._totals, self._is_open = caller, counters, totals, True
         self._sink: Sink
         self.write: Callable[[bytes], None]
-        tally.open += 1
+        totals.open_requests += 1
 
     def end(self) -> None:
-        """The request is over, answered or not."""
-        self._tally.open -= self._is_open
+        """Count the request as no longer open, with or without an answer; only the first call has an effect."""
+        self._totals.open_requests -= self._is_open
         self._is_open = False
 
     def serve(self, answer: Answer) -> None:
-        """Count it served."""
-        self._counts.served += 1
+        """Count the request as served."""
+        self._counters.served += 1
         self.end()
         self._caller.serve(answer)
 
     def refuse(self, retry_after_ms: float) -> None:
-        """Count it refused."""
-        self._counts.refused += 1
+        """Count the request as refused."""
+        self._counters.refused += 1
         self.end()
         self._caller.refuse(retry_after_ms)
 
     def fail(self, status: int) -> None:
-        """Count it failed."""
-        self._counts.failed += 1
+        """Count the request as failed."""
+        self._counters.failed += 1
         self.end()
         self._caller.fail(status)
 
     def begin(self, answer: Answer, length: int | None, source: Source) -> Sink:
-        """Its answer is on its way: counted once it is whole, or cut."""
+        """Start an answer that comes in pieces; it is counted when it is complete or cut off."""
         self._sink = self._caller.begin(answer, length, source)
         self.write = self._sink.write
         return self
 
     def has_left(self) -> bool:
-        """As the caller says."""
+        """Whether the wrapped caller has gone."""
         return self._caller.has_left()
 
     def finish(self) -> None:
-        """Count it served."""
-        self._counts.served += 1
+        """Count the request as served: its answer is complete."""
+        self._counters.served += 1
         self.end()
         self._sink.finish()
 
     def cut(self) -> None:
-        """Count it failed."""
-        self._counts.failed += self._is_open
+        """Count the request as failed, unless it is no longer open: its answer was cut off."""
+        self._counters.failed += self._is_open
         self.end()
         self._sink.cut()
 
 
 class CountingEngine(Engine):
-    """Counts into a tally of its own."""
+    """An engine that counts requests and attempts in `metrics`."""
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        super().__init__(*args, **more)
-        self.tally = Tally(self.classes)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self.metrics = Metrics(self.classes)
 
     def arrived(
         self,
@@ -86,23 +86,23 @@
         caller: Caller,
         free_connections: float,
     ) -> int:
-        """As the engine's; the caller's answer and each attempt written whole are noted."""
-        counts = self.tally.classes[class_name]
-        outgoing.written = partial(_written, counts)
-        counted = _Counted(caller, counts, self.tally)
-        return super().arrived(class_name, tenant, remaining, outgoing, counted, free_connections)
+        """As in `Engine`; also counts how the request ends and each attempt that is written in full."""
+        counters = self.metrics.classes[class_name]
+        outgoing.written = partial(_count_attempt, counters)
+        counting_caller = _CountingCaller(caller, counters, self.metrics)
+        return super().arrived(class_name, tenant, remaining, outgoing, counting_caller, free_connections)
 
     def left(self, number: int) -> None:
-        """The caller has gone: any count is fine, but the request is not open any more."""
+        """The caller has gone: the request is no longer open. Any count would be acceptable; it is left uncounted."""
         request = self._requests.get(number)
-        if request is not None and isinstance(request.caller, _Counted):
+        if request is not None and isinstance(request.caller, _CountingCaller):
             request.caller.end()
         super().left(number)
 
     def turned_back(self, class_name: str) -> None:
-        """A request was out of time before it was taken up."""
-        self.tally.classes[class_name].failed += 1
+        """Count as failed a request whose time had run out before it was accepted."""
+        self.metrics.classes[class_name].failed += 1
 
 
-def _written(counts: Counts) -> None:
-    counts.attempts += 1
+def _count_attempt(counters: ClassCounters) -> None:
+    counters.attempts += 1
--- a/passpost/ops/endpoint.py
+++ b/passpost/ops/endpoint.py
@@ -1,7 +1,7 @@
-"""The operators' listener: HTTP/1.1, one call a connection. Decides nothing.
+"""The listener for operators' calls: HTTP/1.1, one call per connection. Makes no decisions.
 
-Callers that keep a connection without a whole call cost a descriptor each for GIVE_UP_S; past MAX_OPEN the oldest of
-them gives way, so that none of them keeps another call out.
+A connection that does not send a complete call holds a descriptor for up to CALL_TIMEOUT_S. With MAX_CONNECTIONS open,
+a new connection replaces the oldest one, so that incomplete calls can't keep another call out.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_OPEN = 24
-MAX_CALL = 8 * 1024  # bytes of a whole call
-GIVE_UP_S = 5.0  # a whole call must be there so long after connecting
+MAX_CONNECTIONS = 24
+MAX_CALL_BYTES = 8 * 1024  # received on a connection before its reply
+CALL_TIMEOUT_S = 5.0  # from the connection's start until its call must be complete
 BACKLOG = 128
 
 _REASONS = {
@@ -34,11 +34,11 @@
 
 
 class Endpoint:
-    """Listens at an address and hands each call to `answer`; OSError if the address can't be had."""
+    """Listens at an address and replies to each call with `handle`; raises OSError if it can't listen there."""
 
-    def __init__(self, address: Address, answer: Callable[[Request], Reply], host: Host) -> None:
-        self.answer = answer
-        self.open: dict[_Call, None] = {}  # the oldest first
+    def __init__(self, address: Address, handle: Callable[[Request], Reply], host: Host) -> None:
+        self.handle = handle
+        self.connections: dict[_Connection, None] = {}  # in the order of their start
         self._socket = host.listen(address, BACKLOG)
         self._server: asyncio.Server | None = None
         loop = asyncio.get_running_loop()
@@ -50,25 +50,27 @@
         return int(self._socket.getsockname()[1])
 
     async def _start(self, loop: asyncio.AbstractEventLoop) -> None:
-        self._server = await loop.create_server(lambda: _Call(self), sock=cast(socket.socket, self._socket))
+        self._server = await loop.create_server(
+            lambda: _Connection(self), sock=cast(socket.socket, self._socket)
+        )
 
     def close(self) -> None:
-        """Listen no more and drop whoever has not called yet."""
+        """Stop listening and disconnect all open connections."""
         self._task.cancel()
         if self._server is not None:
             self._server.close()
         else:
             self._socket.close()
-        for call in list(self.open):
-            call.drop()
+        for connection in list(self.connections):
+            connection.disconnect()
 
     def make_room(self) -> None:
-        """Let the oldest go that keeps a connection without a whole call."""
-        if len(self.open) >= MAX_OPEN:
-            next(iter(self.open)).drop()
+        """Disconnect the oldest connection if MAX_CONNECTIONS are open."""
+        if len(self.connections) >= MAX_CONNECTIONS:
+            next(iter(self.connections)).disconnect()
 
 
-class _Call(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     """One connection and the one call on it."""
 
     def __init__(self, endpoint: Endpoint) -> None:
@@ -76,70 +78,70 @@
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._target, self._size, self._told = b"", 0, False
+        self._target, self._received_bytes, self._replied = b"", 0, False
 
     # ---- asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """An operator, or a tool of theirs, has connected."""
+        """Make room for the connection and start its time-out."""
         self._transport = cast(asyncio.Transport, transport)
         self._endpoint.make_room()
-        self._endpoint.open[self] = None
-        self._timer = asyncio.get_running_loop().call_later(GIVE_UP_S, self.drop)
+        self._endpoint.connections[self] = None
+        self._timer = asyncio.get_running_loop().call_later(CALL_TIMEOUT_S, self.disconnect)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
-        self._endpoint.open.pop(self, None)
+        """Release the connection's place and its timer."""
+        self._endpoint.connections.pop(self, None)
         if self._timer is not None:
             self._timer.cancel()
         self._transport = None
 
     def data_received(self, data: bytes) -> None:
-        """A piece of the call; once it is told, nothing behind it counts."""
-        if self._told:
+        """Parse a part of the call; everything after the reply is ignored."""
+        if self._replied:
             return
-        self._size += len(data)
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._tell(Reply(400, f"not a call: {error}"))
-        if self._size > MAX_CALL:
-            self._tell(Reply(400, f"a call has {MAX_CALL} bytes at most"))
+            self._send_reply(Reply(400, f"not a call: {error}"))
+        if self._received_bytes > MAX_CALL_BYTES:
+            self._send_reply(Reply(400, f"a call has {MAX_CALL_BYTES} bytes at most"))
 
     # ---- httptools' callbacks
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
+        """Append a part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        """The call is whole."""
+        """Handle the complete call; if the handler raises, the reply is 500 and the error is logged."""
         path, _, query = self._target.decode("latin-1").partition("?")
         request = Request(self._parser.get_method().decode("latin-1"), path, query)
         try:
-            reply = self._endpoint.answer(request)
+            reply = self._endpoint.handle(request)
         except Exception:
-            log.exception("could not answer %s %s", request.method, request.path)
+            log.exception("failed to handle %s %s", request.method, request.path)
             reply = Reply(500, "failed; the log has more")
-        self._tell(reply)
+        self._send_reply(reply)
 
-    def _tell(self, reply: Reply) -> None:
-        if self._told or self._transport is None:
+    def _send_reply(self, reply: Reply) -> None:
+        if self._replied or self._transport is None:
             return
-        self._told = True
+        self._replied = True
         body = reply.text.encode() + (b"" if reply.text.endswith("\n") else b"\n")
         self._transport.write(
             b"HTTP/1.1 %d %b\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n"
             b"Connection: close\r\n\r\n%b"
             % (reply.status, _REASONS.get(reply.status, "").encode(), len(body), body)
         )
-        if self._transport.can_write_eof():  # unread bytes behind the call would turn a close into a reset
+        if self._transport.can_write_eof():  # closing with unread bytes after the call would send a reset
             self._transport.write_eof()
         else:
             self._transport.close()
 
-    def drop(self) -> None:
-        """Close at once."""
-        self._endpoint.open.pop(self, None)
+    def disconnect(self) -> None:
+        """Abort the connection, without waiting for unsent data."""
+        self._endpoint.connections.pop(self, None)
         if self._transport is not None:
             self._transport.abort()
--- a/passpost/ops/handover.py
+++ b/passpost/ops/handover.py
@@ -1,9 +1,9 @@
-"""Two versions at once: the running process hands its listening socket to the one that is started beside it.
+"""Hands the clients' listening socket of the running process to a new version that is started beside it.
 
-The running one listens on a socket under `$TMPDIR`. Whoever connects there is a new version and is sent the
-descriptor of the clients' listening socket (SCM_RIGHTS, unix(7)). From then on both accept from one queue, so that
-neither can leave anything in it when it ends. Then it is told what the running one has learned, as one line of JSON.
-The connection stays open: its end tells each that the other is gone.
+The running process listens on a Unix socket under `$TMPDIR`. A process that connects there is a new version: it is sent
+the descriptor of the clients' listening socket (SCM_RIGHTS, unix(7)). From then on both accept from the same queue, so
+that a process that ends leaves no connection behind in a queue of its own. Then the running process sends what it has
+learned about the servers, as one line of JSON. The connection stays open: each side detects the other's end by its EOF.
 """
 
 from __future__ import annotations
@@ -20,108 +20,109 @@
 
 log = logging.getLogger(__name__)
 
-ASK_S = 2.0  # a running process that does not answer within this is taken for dead
-GREETING = b"passpost 1\n"  # and the descriptor with it
-MAX_LINE = 4 * 1024 * 1024  # bytes; 4,096 servers with long names come to a tenth of it
-READ_AT_ONCE = 65_536
+HANDOVER_TIMEOUT_S = 2.0  # a running process that does not answer within this is treated as dead
+GREETING = b"passpost 1\n"  # sent together with the descriptor
+MAX_LINE_BYTES = 4 * 1024 * 1024  # 4,096 servers with long names take a tenth of it
+READ_SIZE_BYTES = 65_536
 
 
-class Shared(Host):
-    """A machine whose clients' address may be taken over from a running process.
+class HandoverHost(Host):
+    """A host whose clients' listening socket may come from a running process.
 
-    SO_REUSEPORT is the way out for a version that can't be handed a socket: each has a queue of its own then, and
-    what lies in it when its process ends is reset.
+    SO_REUSEPORT is the fallback for a version that can't receive the socket. Each process then has an accept queue of
+    its own, and the connections waiting in it are reset when the process ends.
     """
 
     reuse_port = True
 
-    def __init__(self, given: socket.socket | None) -> None:
-        self._given = given
+    def __init__(self, handed_over: socket.socket | None) -> None:
+        self._handed_over = handed_over
 
     def listen(self, address: Address, backlog: int) -> Listener:
-        """The socket that was handed over; else one that a second process may bind beside it."""
-        if self._given is not None:
-            given, self._given = self._given, None
-            return given
+        """The socket that was handed over, at the first call; else a new one, bound with SO_REUSEPORT."""
+        if self._handed_over is not None:
+            handed_over, self._handed_over = self._handed_over, None
+            return handed_over
         return super().listen(address, backlog)
 
 
-class Link:
-    """A connection to the other version, for as long as both run. `ended` is called when the other has gone.
+class PeerLink:
+    """The connection to the other version while both run. Calls `on_closed` when the other version closes it.
 
-    `said` gets each line that the other says, MAX_LINE bytes at most; what is longer or later is thrown away.
+    `on_line` is called with each line that the other version sends. A line longer than MAX_LINE_BYTES is discarded, and
+    so is anything that arrives after `close`.
     """
 
     def __init__(
         self,
         connection: socket.socket,
-        ended: Callable[[], None],
-        said: Callable[[bytes], None] = lambda line: None,
+        on_closed: Callable[[], None],
+        on_line: Callable[[bytes], None] = lambda line: None,
     ) -> None:
-        self._connection, self._ended, self._said = connection, ended, said
-        self._line, self._out = bytearray(), bytearray()
+        self._connection, self._on_closed, self._on_line = connection, on_closed, on_line
+        self._received, self._unsent = bytearray(), bytearray()
         connection.setblocking(False)
         asyncio.get_running_loop().add_reader(connection, self._read)
 
-    def say(self, line: bytes) -> None:
-        """Tell the other version something it can do without."""
-        if len(line) < MAX_LINE and self._connection.fileno() >= 0:
-            self._out += line + b"\n"
+    def send_line(self, line: bytes) -> None:
+        """Send a line to the other version; it is dropped if it is too long or the connection is closed."""
+        if len(line) < MAX_LINE_BYTES and self._connection.fileno() >= 0:
+            self._unsent += line + b"\n"
             self._write()
 
     def _write(self) -> None:
-        """Write what the socket takes; a long line waits here for the other side to read."""
+        """Write what the socket accepts; the rest stays buffered until the socket is writable again."""
         loop = asyncio.get_running_loop()
         try:
-            del self._out[: self._connection.send(self._out)]
+            del self._unsent[: self._connection.send(self._unsent)]
         except BlockingIOError:
             pass
-        except OSError:  # it has gone, which the reader hears too
-            self._out.clear()
-        if self._out:
+        except OSError:  # the other version has gone; `_read` detects that too
+            self._unsent.clear()
+        if self._unsent:
             loop.add_writer(self._connection, self._write)
         else:
             loop.remove_writer(self._connection)
 
     def _read(self) -> None:
         try:
-            if data := self._connection.recv(READ_AT_ONCE):
-                self._line += data
-                while b"\n" in self._line:
-                    line, _, self._line = self._line.partition(b"\n")
-                    self._said(bytes(line))
-                if len(self._line) > MAX_LINE:
-                    self._line.clear()
+            if data := self._connection.recv(READ_SIZE_BYTES):
+                self._received += data
+                while b"\n" in self._received:
+                    line, _, self._received = self._received.partition(b"\n")
+                    self._on_line(bytes(line))
+                if len(self._received) > MAX_LINE_BYTES:
+                    self._received.clear()
                 return
         except BlockingIOError:
             return
         except OSError:
             pass
         self.close()
-        self._ended()
+        self._on_closed()
 
     def close(self) -> None:
-        """Let go; the other side hears it."""
+        """Close the connection, which tells the other version that this one has gone."""
         if self._connection.fileno() >= 0:
             asyncio.get_running_loop().remove_reader(self._connection)
             asyncio.get_running_loop().remove_writer(self._connection)
             self._connection.close()
 
 
-Taken = tuple[
+HandedOver = tuple[
     socket.socket, socket.socket
-]  # the listening socket, and a connection to whoever handed it over
+]  # the listening socket, and the connection to its former owner
 
 
-def take(path: Path) -> Taken | None:
-    """The running process's listening socket and a connection to it; None if none runs or it does not answer.
+def request_handover(path: Path) -> HandedOver | None:
+    """The running process's listening socket and the connection to it; None if none runs or it does not answer.
 
-    Waits for ASK_S at most; called before this process serves anybody.
+    Blocks for up to HANDOVER_TIMEOUT_S, so call it before this process serves requests.
     """
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    connection.settimeout(ASK_S)
+    connection.settimeout(HANDOVER_TIMEOUT_S)
     try:
-        connection.connect(_short(path))
+        connection.connect(_bindable_path(path))
         greeting, descriptors, _, _ = socket.recv_fds(connection, len(GREETING), 1)
     except OSError as error:
         connection.close()
@@ -132,22 +133,22 @@
         for descriptor in descriptors:
             os.close(descriptor)
         connection.close()
-        log.warning("nothing was handed over: an answer of %d bytes means nothing here", len(greeting))
+        log.warning("nothing was handed over: unrecognized answer of %d bytes", len(greeting))
         return None
     listener = socket.socket(fileno=descriptors[0])
     listener.setblocking(False)
     return listener, connection
 
 
-class Offer:
-    """Waits for a new version and hands it the listening socket."""
+class HandoverServer:
+    """Listens at `path` for new versions, sends each the listening socket and passes `on_successor` its connection."""
 
-    def __init__(self, path: Path, listener: Listener, linked: Callable[[socket.socket], None]) -> None:
-        self.path, self._listener, self._linked = path, listener, linked
+    def __init__(self, path: Path, listener: Listener, on_successor: Callable[[socket.socket], None]) -> None:
+        self.path, self._listener, self._on_successor = path, listener, on_successor
         self._socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(path)  # of one that has ended, or of the one that we took over from
-        self._socket.bind(_short(path))
+            os.unlink(path)  # left by a process that has ended, or in use by the version that is replaced
+        self._socket.bind(_bindable_path(path))
         self._inode = os.stat(path).st_ino
         os.chmod(path, 0o600)
         self._socket.listen(4)
@@ -157,30 +158,30 @@
         try:
             connection, _ = self._socket.accept()
         except OSError as error:
-            log.warning("a new version could not be let in: %s", error)
+            log.warning("could not accept the connection of a new version: %s", error)
             return
         try:
             socket.send_fds(connection, [GREETING], [self._listener.fileno()])
         except OSError as error:
-            log.warning("the listening socket could not be handed over: %s", error)
+            log.warning("could not hand over the listening socket: %s", error)
             connection.close()
             return
-        self._linked(connection)
+        self._on_successor(connection)
 
     def close(self) -> None:
-        """Wait no more."""
+        """Stop listening, and remove the socket's file unless a new version has replaced it."""
         if self._socket.fileno() < 0:
             return
         asyncio.get_running_loop().remove_reader(self._socket)
         self._socket.close()
         with contextlib.suppress(OSError):
-            if os.stat(self.path).st_ino == self._inode:  # else a new version's
+            if os.stat(self.path).st_ino == self._inode:  # another inode belongs to a new version
                 os.unlink(self.path)
 
 
-def _short(path: Path) -> str:
-    """A name that fits in a socket's address (108 bytes, unix(7)), however long the folder's is."""
+def _bindable_path(path: Path) -> str:
+    """A path of the same socket that fits in a socket address (108 bytes, unix(7)), however long its folder's is."""
     if len(os.fsencode(path)) < 100:
         return str(path)
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-    return f"/proc/self/fd/{folder}/{path.name}"  # the descriptor stays open for as long as the process runs
+    return f"/proc/self/fd/{folder}/{path.name}"  # valid because the descriptor stays open until the process ends
--- a/passpost/ops/model.py
+++ b/passpost/ops/model.py
@@ -1,4 +1,4 @@
-"""Values that the parts of daily operation share."""
+"""Data types shared by the modules that serve operators' calls."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bans:
-    """What operators have done to upstreams by hand.
+class DetachState:
+    """Which upstreams operators have detached, and when they attached others again.
 
-    `out`: ids that are left out, whatever the list says. `back`: when those that were put back came back (Unix
-    milliseconds), kept for as long as one that started then may be cold.
+    `detached`: ids of upstreams that get no requests, whatever the server list says. `attached_at_ms`: id to the Unix
+    time in milliseconds of its last attach, kept for as long as an upstream that started then may still be cold.
     """
 
-    out: frozenset[str] = frozenset()
-    back: dict[str, float] = field(default_factory=dict)
+    detached: frozenset[str] = frozenset()
+    attached_at_ms: dict[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One call of an operator, as it was read."""
+    """The method, path and query of an operator's call."""
 
     method: str
     path: str
@@ -28,38 +28,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """What an operator is told: 2xx is yes, all else is no; `text` is one line or the figures."""
+    """The answer to an operator's call; `text` is one line, or all metrics with a line each."""
 
     status: int
     text: str
 
 
-# ---- what is to be done for a call
+# ---- commands
 
 
 @dataclass(frozen=True, slots=True)
-class AskReady:
-    """Whether this process is ready to serve."""
+class GetReadiness:
+    """Report whether this process is ready to serve."""
 
 
 @dataclass(frozen=True, slots=True)
-class AskFigures:
-    """The figures."""
+class GetMetrics:
+    """Report the metrics."""
 
 
 @dataclass(frozen=True, slots=True)
-class SetBan:
-    """Leave an upstream out, or put it back."""
+class SetDetached:
+    """Detach an upstream, or attach it again."""
 
     server: str
-    out: bool
+    detached: bool
 
 
 @dataclass(frozen=True, slots=True)
 class SetDrain:
-    """Empty the balancer, or go back to work."""
+    """Drain the balancer, or resume normal service."""
 
-    on: bool
+    enabled: bool
 
 
-Command = AskReady | AskFigures | SetBan | SetDrain
+Command = GetReadiness | GetMetrics | SetDetached | SetDrain
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -1,4 +1,4 @@
-"""One balancer that operators call and whose versions take over from each other."""
+"""A balancer that serves operators' calls and takes over from, or hands over to, another version."""
 
 from __future__ import annotations
 
@@ -18,21 +18,23 @@
 from passpost.ops import handover, heritage, rules
 from passpost.ops.counting import CountingEngine
 from passpost.ops.endpoint import Endpoint
-from passpost.ops.model import AskFigures, AskReady, Bans, Reply, Request, SetBan, SetDrain
-from passpost.ops.store import Store
+from passpost.ops.model import DetachState, GetMetrics, GetReadiness, Reply, Request, SetDetached, SetDrain
+from passpost.ops.store import DetachStore
 from umberworks.interface import Attached, Detached, Readiness
 from umberworks.rules import Balancer
 
 log = logging.getLogger("passpost.ops")
 
-LOOK_S = 0.1  # how often the bans are looked at while two versions run; a ban is owed within 1 s
-WHILE_TWO = 0.5  # the part of the descriptors that each of two versions may hold
+# How often the file of detached upstreams is checked while two versions run: a call to one version must take effect in
+# both within 1 s.
+FILE_CHECK_S = 0.1
+OVERLAP_SHARE = 0.5  # the share of the descriptors that each of two running versions may hold
 
 
 class OperatedNode(Node):
-    """A node with a listener for operators at `config.ops`, and its state under `folder` (None: in memory only).
+    """A node with a listener for operators at `config.ops` and state files in `folder` (None: state in memory only).
 
-    `taken`: what `take_over` got from a version that runs. Raises OSError if an address can't be had.
+    `handed_over`: the result of `take_over`. Raises OSError if it can't listen on an address.
     """
 
     engine: CountingEngine
@@ -41,68 +43,75 @@
         self,
         config: Config,
         folder: Path | None,
-        taken: handover.Taken | None = None,
+        handed_over: handover.HandedOver | None = None,
         module: type[Balancer] = Balancer,
         engine: type[CountingEngine] = CountingEngine,
         discovery: type[Discovery] = Discovery,
     ) -> None:
         assert config.ops is not None
-        stem = None if folder is None else _stem(config, folder)
-        if stem is None:
-            log.warning("no $TMPDIR: bans end with this process, and no later version can take over from it")
-        host = handover.Shared(taken[0] if taken else None)
-        endpoint = Endpoint(config.ops, self.answer, HOST)  # first: what can't be had must not cost a caller
+        path_stem = None if folder is None else _path_stem(config, folder)
+        if path_stem is None:
+            log.warning(
+                "$TMPDIR is not a folder: bans last until this process ends, and no later version can take over"
+            )
+        host = handover.HandoverHost(handed_over[0] if handed_over else None)
+        # The operators' listener is opened before callers are accepted: if its address is not available, no caller is
+        # affected.
+        endpoint = Endpoint(config.ops, self.handle, HOST)
         try:
             super().__init__(config, host, module, engine, discovery)
         except BaseException:
             endpoint.close()
             raise
         self.endpoint = endpoint
-        self._links: list[handover.Link] = []
+        self._links: list[handover.PeerLink] = []
         self._successors = 0
-        self._looker: asyncio.TimerHandle | None = None
-        self._offer: handover.Offer | None = None
-        self._told = Bans()
-        self._store = Store(stem.with_suffix(".bans") if stem is not None else None)
-        self._tell_bans()
-        if taken:
+        self._check_timer: asyncio.TimerHandle | None = None
+        self._handover_server: handover.HandoverServer | None = None
+        self._applied = DetachState()
+        self._store = DetachStore(path_stem.with_suffix(".bans") if path_stem is not None else None)
+        self._apply_detach_state()
+        if handed_over:
             log.info("took over the listening socket from the version that runs")
-            self._link(taken[1], successor=False)
-        if stem is not None:
-            self._make_offer(stem.with_suffix(".sock"))
+            self._add_link(handed_over[1], successor=False)
+        if path_stem is not None:
+            self._start_handover_server(path_stem.with_suffix(".sock"))
 
-    def _make_offer(self, path: Path) -> None:
+    def _start_handover_server(self, path: Path) -> None:
         try:
             listener = cast("socket.socket", self.server.listener)
-            self._offer = handover.Offer(path, listener, lambda c: self._link(c, successor=True))
+            self._handover_server = handover.HandoverServer(
+                path, listener, lambda c: self._add_link(c, successor=True)
+            )
         except OSError as error:
             log.warning("no later version can take over from this one: %s", error)
 
     # ---- two versions
 
-    def _link(self, connection: socket.socket, successor: bool) -> None:
-        """Another version runs from now on, until its end of the connection closes."""
+    def _add_link(self, connection: socket.socket, successor: bool) -> None:
+        """Note that another version runs until it closes `connection`; `successor`: it is newer than this one."""
 
-        def ended() -> None:
+        def on_closed() -> None:
             self._links.remove(link)
             self._successors -= successor
             log.info("the %s version has ended", "new" if successor else "old")
-            self._share()
-            if successor and self._offer is not None:  # it had put its own offer in place of ours
-                self._offer.close()
-                self._make_offer(self._offer.path)
+            self._share_descriptors()
+            if successor and self._handover_server is not None:
+                # The new version had bound its own handover socket at the path of this one.
+                self._handover_server.close()
+                self._start_handover_server(self._handover_server.path)
 
-        link = handover.Link(connection, ended, self._hear)
+        link = handover.PeerLink(connection, on_closed, self._receive_learned)
         if successor:
-            link.say(heritage.write(self.engine.learned()))
+            link.send_line(heritage.write(self.engine.learned()))
         self._links.append(link)
         self._successors += successor
-        self._share()
-        if self._looker is None:
-            self._look()
+        self._share_descriptors()
+        if self._check_timer is None:
+            self._check_file()
 
-    def _hear(self, line: bytes) -> None:
-        """What the version before has learned; one that can't be read is no harm."""
+    def _receive_learned(self, line: bytes) -> None:
+        """Pass what the old version has learned to the engine; a line that can't be parsed is logged and ignored."""
         try:
             learned = heritage.read(line)
         except ValueError as error:
@@ -110,22 +119,22 @@
         else:
             self.engine.told(learned)
 
-    def _share(self) -> None:
-        """Two versions are one balancer to the platform: its descriptors are divided."""
-        self.limit(WHILE_TWO if self._links else 1.0)
+    def _share_descriptors(self) -> None:
+        """Divide the descriptors between two running versions, which the platform limits as one balancer."""
+        self.limit(OVERLAP_SHARE if self._links else 1.0)
 
-    def _look(self) -> None:
-        self._looker = None
-        if self._store.look():
-            self._tell_bans()
+    def _check_file(self) -> None:
+        self._check_timer = None
+        if self._store.refresh():
+            self._apply_detach_state()
         if self._links:
-            self._looker = asyncio.get_running_loop().call_later(LOOK_S, self._look)
+            self._check_timer = asyncio.get_running_loop().call_later(FILE_CHECK_S, self._check_file)
 
     async def stop(self) -> None:
-        """Finish what was taken, the quick way if a new version takes what comes; then close everything."""
-        if self._offer is not None:
-            self._offer.close()
-            self._offer = None  # whoever comes now has nothing to take over
+        """Finish the accepted requests and close everything; quicker if a new version accepts connections already."""
+        if self._handover_server is not None:
+            self._handover_server.close()
+            self._handover_server = None  # a version that starts from now on has nothing to take over
         try:
             if self._successors:
                 await self.server.hand_over(self.within())
@@ -134,87 +143,94 @@
         finally:
             self.close()
             self.endpoint.close()
-            if self._looker is not None:
-                self._looker.cancel()
+            if self._check_timer is not None:
+                self._check_timer.cancel()
             for link in self._links:
                 link.close()
 
     # ---- calls
 
-    def answer(self, call: Request) -> Reply:
-        """What an operator's call comes to."""
-        match rules.read(call):
-            case Reply() as no:
-                return no
-            case AskReady():
+    def handle(self, request: Request) -> Reply:
+        """Carry out an operator's call."""
+        match rules.parse_command(request):
+            case Reply() as error_reply:
+                return error_reply
+            case GetReadiness():
                 ready = self.server.is_ready()
                 return Reply(200 if ready else 503, "ready" if ready else "not ready")
-            case AskFigures():
-                return Reply(200, self.engine.tally.write(len(self.discovery.members), self._excluded()))
-            case SetBan() as change:
-                return self._ban(change)
-            case SetDrain(on=False) if self.server.is_stopping():
+            case GetMetrics():
+                return Reply(
+                    200, self.engine.metrics.render(len(self.discovery.members), self._count_excluded())
+                )
+            case SetDetached() as change:
+                return self._set_detached(change)
+            case SetDrain(enabled=False) if self.server.is_stopping():
                 return Reply(409, "about to end: this process does not go back to work")
-            case SetDrain(on):
-                log.info("called to %s", "empty" if on else "go back to work")
-                if on:
+            case SetDrain(enabled):
+                log.info("operator's call: %s", "drain" if enabled else "resume service")
+                if enabled:
                     self.server.empty()
                 else:
                     self.server.refill()
-                return Reply(200, "emptying" if on else "at work")
+                return Reply(200, "emptying" if enabled else "at work")
 
-    def _ban(self, change: SetBan) -> Reply:
+    def _set_detached(self, change: SetDetached) -> Reply:
         reply = Reply(500, "nothing was done")
 
-        def by(bans: Bans) -> Bans:
+        def update(state: DetachState) -> DetachState:
             nonlocal reply
-            now, memory = time.time() * 1000, self._config.settings.cold_ms
-            bans, reply = rules.ban(bans, change, self.discovery.members, now, memory)
-            return bans
+            now_ms, retention_ms = time.time() * 1000, self._config.settings.cold_ms
+            state, reply = rules.apply_change(state, change, self.discovery.members, now_ms, retention_ms)
+            return state
 
-        self._store.change(by)
-        self._tell_bans()
-        log.info("%s: %s", "detach" if change.out else "attach", reply.text)
+        self._store.change(update)
+        self._apply_detach_state()
+        log.info("%s: %s", "detach" if change.detached else "attach", reply.text)
         return reply
 
-    def _tell_bans(self) -> None:
-        """Tell the module what has changed since it was last told."""
-        out, back = rules.difference(self._told, self._store.bans)
-        self._told = self._store.bans
-        for server in out:
+    def _apply_detach_state(self) -> None:
+        """Pass the changes since the last call to the engine, and close the idle connections to their upstreams."""
+        detached, attached_at_ms = rules.diff(self._applied, self._store.state)
+        self._applied = self._store.state
+        for server in detached:
             self.engine.told(Detached(server))
             self.upstreams.let_go(server)
-        for server, at in back:
-            self.upstreams.let_go(server)  # what was kept to it may lead to a process that is no more
+        for server, at in attached_at_ms:
+            self.upstreams.let_go(server)  # kept connections may lead to a process that no longer exists
             self.engine.told(Attached(server, at))
 
-    def _excluded(self) -> int:
+    def _count_excluded(self) -> int:
+        """How many listed upstreams get no requests: they are detached, draining or gone."""
         members = self.discovery.members
         return len(
-            members.keys() & self._told.out
+            members.keys() & self._applied.detached
             | {n for n, m in members.items() if m.readiness is not Readiness.READY}
         )
 
     def reload(self, config: Config) -> None:
-        """As a node's; counted."""
+        """As in `Node`; counts the reload."""
         super().reload(config)
-        self.engine.tally.reloads_ok += 1
+        self.engine.metrics.reloads_ok += 1
 
     def reload_failed(self) -> None:
-        """Count a configuration that could not be used."""
-        self.engine.tally.reloads_failed += 1
+        """Count a reload whose configuration was not valid."""
+        self.engine.metrics.reloads_failed += 1
 
 
-def _stem(config: Config, folder: Path) -> Path:
+def _path_stem(config: Config, folder: Path) -> Path:
     return folder / f"passpost-{re.sub(r'[^A-Za-z0-9_-]', '_', config.name)}"
 
 
-def take_over(config: Config, folder: Path | None) -> handover.Taken | None:
-    """The listening socket of the version that runs, if one does; waits for its answer."""
-    return handover.take(_stem(config, folder).with_suffix(".sock")) if folder is not None else None
+def take_over(config: Config, folder: Path | None) -> handover.HandedOver | None:
+    """The listening socket of a running version and a connection to it, or None; blocks until that version answers."""
+    return (
+        handover.request_handover(_path_stem(config, folder).with_suffix(".sock"))
+        if folder is not None
+        else None
+    )
 
 
 def folder() -> Path | None:
-    """Where state may lie that a later version finds: `$TMPDIR`, if it is a folder."""
+    """The folder for state that a later version finds: `$TMPDIR`, or None if that is not a folder."""
     path = os.environ.get("TMPDIR", "")
     return Path(path) if path and os.path.isdir(path) else None
--- a/passpost/ops/rules.py
+++ b/passpost/ops/rules.py
@@ -1,7 +1,7 @@
-"""Decides what an operator's call means and what becomes of the bans. No I/O, no clock.
+"""Parses operators' calls and computes the changes to the detached upstreams. No I/O, no clock.
 
-A call is one of six lines (`CALLS`); everything else is told no with the reason. Bans are a set: one call back
-answers any number of calls out. An id is known while the list names it or a ban holds it.
+The calls are those in `METHOD_BY_PATH`; any other is answered with an error that gives the reason. Detached upstreams
+are a set: one attach undoes any number of detaches. An id is known while it is in the server list or detached.
 """
 
 from __future__ import annotations
@@ -9,11 +9,20 @@
 from collections.abc import Container
 from urllib.parse import parse_qs
 
-from passpost.ops.model import AskFigures, AskReady, Bans, Command, Reply, Request, SetBan, SetDrain
+from passpost.ops.model import (
+    Command,
+    DetachState,
+    GetMetrics,
+    GetReadiness,
+    Reply,
+    Request,
+    SetDetached,
+    SetDrain,
+)
 
-MAX_ID = 256  # letters of an id; the list's are far shorter
+MAX_ID_CHARS = 256  # ids in the server list are far shorter
 
-CALLS = {
+METHOD_BY_PATH = {
     "/_ready": "GET",
     "/_vars": "GET",
     "/_upstreams/detach": "PUT",
@@ -23,51 +32,61 @@
 }
 
 
-def read(call: Request) -> Command | Reply:
-    """What is to be done, or the no for a call that means nothing."""
-    method = CALLS.get(call.path)
+def parse_command(request: Request) -> Command | Reply:
+    """The command of a call, or an error reply if the call is not valid."""
+    method = METHOD_BY_PATH.get(request.path)
     if method is None:
-        return Reply(404, f"{call.path}: no such call; there are {', '.join(CALLS)}")
-    if call.method != method:
-        return Reply(405, f"{call.path}: asked by {call.method}, takes {method}")
-    if call.path == "/_ready":
-        return AskReady()
-    if call.path == "/_vars":
-        return AskFigures()
-    what = call.path.rpartition("/")[2]
-    if call.path.startswith("/_lameduck/"):
-        return SetDrain(what == "on")
-    ids = parse_qs(call.query, keep_blank_values=True, max_num_fields=16).get("id", [])
-    if len(ids) != 1 or not 0 < len(ids[0]) <= MAX_ID:
-        return Reply(400, f"{call.path}: wants one id=ID of 1 to {MAX_ID} letters")
-    return SetBan(ids[0], what == "detach")
+        return Reply(404, f"{request.path}: no such call; there are {', '.join(METHOD_BY_PATH)}")
+    if request.method != method:
+        return Reply(405, f"{request.path}: asked by {request.method}, takes {method}")
+    if request.path == "/_ready":
+        return GetReadiness()
+    if request.path == "/_vars":
+        return GetMetrics()
+    action = request.path.rpartition("/")[2]
+    if request.path.startswith("/_lameduck/"):
+        return SetDrain(action == "on")
+    ids = parse_qs(request.query, keep_blank_values=True, max_num_fields=16).get("id", [])
+    if len(ids) != 1 or not 0 < len(ids[0]) <= MAX_ID_CHARS:
+        return Reply(400, f"{request.path}: wants one id=ID of 1 to {MAX_ID_CHARS} letters")
+    return SetDetached(ids[0], action == "detach")
 
 
-def ban(
-    bans: Bans, change: SetBan, listed: Container[str], now: float, memory_ms: float
-) -> tuple[Bans, Reply]:
-    """The bans after a change at `now` (Unix milliseconds), and what the operator is told.
+def apply_change(
+    state: DetachState, change: SetDetached, listed: Container[str], now_ms: float, retention_ms: float
+) -> tuple[DetachState, Reply]:
+    """The state after a change at `now_ms` (Unix time in milliseconds), and the reply to the operator.
 
-    `memory_ms`: how long it matters that an upstream was put back.
+    `listed`: ids in the server list. `retention_ms`: how long the time of an attach is kept. An id that is neither
+    listed nor detached is answered with 404.
     """
     server = change.server
-    banned = server in bans.out
-    if not banned and server not in listed:
-        return bans, Reply(404, f"{server}: no upstream of this name is listed or left out")
-    back = {name: at for name, at in bans.back.items() if now - at < memory_ms}
-    if change.out:
-        back.pop(server, None)
-        return Bans(bans.out | {server}, back), Reply(
-            200, f"{server}: left out" + (" already" if banned else "")
+    was_detached = server in state.detached
+    if not was_detached and server not in listed:
+        return state, Reply(404, f"{server}: no upstream of this name is listed or left out")
+    attached_at_ms = {name: at for name, at in state.attached_at_ms.items() if now_ms - at < retention_ms}
+    if change.detached:
+        attached_at_ms.pop(server, None)
+        return DetachState(state.detached | {server}, attached_at_ms), Reply(
+            200, f"{server}: left out" + (" already" if was_detached else "")
         )
-    if banned:
-        back[server] = now
-    return Bans(bans.out - {server}, back), Reply(200, f"{server}: in use" + ("" if banned else " already"))
+    if was_detached:
+        attached_at_ms[server] = now_ms
+    return DetachState(state.detached - {server}, attached_at_ms), Reply(
+        200, f"{server}: in use" + ("" if was_detached else " already")
+    )
 
 
-def difference(old: Bans, new: Bans) -> tuple[list[str], list[tuple[str, float]]]:
-    """Which upstreams went out between two states, and which came back and when, in order of their names."""
-    out = sorted(new.out - old.out)
-    back = [(n, at) for n, at in sorted(new.back.items()) if n not in new.out and old.back.get(n) != at]
-    back += [(n, 0.0) for n in sorted(old.out - new.out) if n not in new.back]
-    return out, back
+def diff(old: DetachState, new: DetachState) -> tuple[list[str], list[tuple[str, float]]]:
+    """The upstreams detached between two states, and those attached with their times, each sorted by id.
+
+    The time of an attach is Unix time in milliseconds; it is 0 if the new state no longer keeps it.
+    """
+    detached = sorted(new.detached - old.detached)
+    attached_at_ms = [
+        (n, at)
+        for n, at in sorted(new.attached_at_ms.items())
+        if n not in new.detached and old.attached_at_ms.get(n) != at
+    ]
+    attached_at_ms += [(n, 0.0) for n in sorted(old.detached - new.detached) if n not in new.attached_at_ms]
+    return detached, attached_at_ms
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -1,4 +1,4 @@
-"""A balancer that operators call, on loopback sockets; and two versions of it at once."""
+"""An operated node on loopback sockets: operators' calls, and the handover between two versions."""
 
 from __future__ import annotations
 
@@ -23,29 +23,34 @@
 async def call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
     reader, writer = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: o\r\n\r\n".encode())
-    whole = (await reader.read()).decode()
+    answer = (await reader.read()).decode()
     writer.close()
-    head, _, body = whole.partition("\r\n\r\n")
+    head, _, body = answer.partition("\r\n\r\n")
     return int(head.split()[1]), body
 
 
-async def figures(node: OperatedNode) -> dict[str, int]:
+async def metrics(node: OperatedNode) -> dict[str, int]:
     status, body = await call(node, "GET", "/_vars")
     assert status == 200
     return {name: int(value) for name, value in (line.split("=") for line in body.splitlines())}
 
 
-async def operated(data: dict[str, Any], place: Path | None) -> OperatedNode:
+async def start_node(data: dict[str, Any], state_folder: Path | None) -> OperatedNode:
     read = config.read(data | {"ops": "127.0.0.1:0"})
-    taken = await asyncio.to_thread(take_over, read, place)  # elsewhere the two are processes of their own
-    return OperatedNode(read, place, taken)
+    # `take_over` blocks until the old version answers, and here that version runs on this event loop.
+    handed_over = await asyncio.to_thread(take_over, read, state_folder)
+    return OperatedNode(read, state_folder, handed_over)
 
 
 @asynccontextmanager
-async def served(place: Path | None, *upstreams: FakeServer) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
+async def served(
+    state_folder: Path | None, *upstreams: FakeServer
+) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
     for upstream in upstreams:
         await upstream.start()
-    node = await operated(config_data([member(f"s{i}", u.host_port) for i, u in enumerate(upstreams)]), place)
+    node = await start_node(
+        config_data([member(f"s{i}", u.host_port) for i, u in enumerate(upstreams)]), state_folder
+    )
     balancer = Balancer(node)
     try:
         yield balancer, node
@@ -57,26 +62,26 @@
             upstream.stop()
 
 
-def test_calls_are_answered_beside_callers_that_say_nothing(tmp_path: Path) -> None:
+def test_calls_are_answered_while_other_connections_send_no_complete_call(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (_, node):
             silent = [
                 await asyncio.open_connection("127.0.0.1", node.endpoint.port)
-                for _ in range(endpoint.MAX_OPEN * 3)
+                for _ in range(endpoint.MAX_CONNECTIONS * 3)
             ]
-            half = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
-            half[1].write(b"GET /_ready HT")
+            incomplete = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
+            incomplete[1].write(b"GET /_ready HT")
             assert await call(node, "GET", "/_ready") == (200, "ready\n")
             assert (await call(node, "GET", "/nothing"))[0] == 404
             assert (await call(node, "PUT", "/_ready"))[0] == 405
-            assert len(node.endpoint.open) <= endpoint.MAX_OPEN
-            for _, writer in [*silent, half]:
+            assert len(node.endpoint.connections) <= endpoint.MAX_CONNECTIONS
+            for _, writer in [*silent, incomplete]:
                 writer.close()
 
     run(test())
 
 
-def test_a_call_may_come_in_pieces_and_one_that_is_none_is_told_so(tmp_path: Path) -> None:
+def test_a_call_may_arrive_in_pieces_and_a_malformed_one_gets_400(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (_, node):
             reader, writer = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
@@ -84,9 +89,9 @@
                 writer.write(bytes([byte]))
                 await asyncio.sleep(0)
             assert (await reader.read()).startswith(b"HTTP/1.1 200 ")
-            for nonsense in (b"\x00\x01\x02\r\n\r\n", b"GET /_ready HTTP/1.1\r\nX: " + b"a" * 20_000):
+            for malformed in (b"\x00\x01\x02\r\n\r\n", b"GET /_ready HTTP/1.1\r\nX: " + b"a" * 20_000):
                 reader, writer = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
-                writer.write(nonsense)
+                writer.write(malformed)
                 with contextlib.suppress(ConnectionResetError):
                     assert (await reader.read()).startswith(b"HTTP/1.1 400 ")
             assert (await call(node, "GET", "/_ready"))[0] == 200
@@ -94,7 +99,7 @@
     run(test())
 
 
-def test_an_upstream_that_is_taken_out_gets_nothing_until_it_is_put_back(tmp_path: Path) -> None:
+def test_a_detached_upstream_gets_no_requests_until_it_is_attached(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
         async with served(tmp_path, first, second) as (balancer, node):
@@ -104,8 +109,8 @@
             for _ in range(10):
                 assert (await client.ask()) is not None
             assert (len(first.got), len(second.got)) == (0, 10)
-            seen = await figures(node)
-            assert (seen["edge.upstreams_known"], seen["edge.upstreams_excluded"]) == (2, 1)
+            values = await metrics(node)
+            assert (values["edge.upstreams_known"], values["edge.upstreams_excluded"]) == (2, 1)
             assert (await call(node, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
             assert (await call(node, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
             assert (await client.ask()) is not None
@@ -114,7 +119,7 @@
     run(test())
 
 
-def test_the_figures_are_what_peers_saw(tmp_path: Path) -> None:
+def test_the_metrics_match_what_callers_and_upstreams_saw(tmp_path: Path) -> None:
     async def test() -> None:
         release = asyncio.Event()
 
@@ -129,21 +134,21 @@
             client = await balancer.connect()
             for target in ("/read", "/read", "/pay?bad"):
                 await client.ask(target, method="POST" if "pay" in target else "GET")
-            held = await balancer.connect()
-            held.send("/read?hold")
+            waiting = await balancer.connect()
+            waiting.send("/read?hold")
             await until(lambda: len(upstream.got) == 4)
-            seen = await figures(node)
-            assert seen["edge.served.read"] == 2 and seen["edge.failed.pay"] == 1
-            assert seen["edge.attempts.read"] == 3 and seen["edge.attempts.pay"] == 1
-            assert seen["edge.in_flight"] == 1
-            held.writer.close()  # it has gone
-            await until(lambda: node.engine.tally.open == 0)
+            values = await metrics(node)
+            assert values["edge.served.read"] == 2 and values["edge.failed.pay"] == 1
+            assert values["edge.attempts.read"] == 3 and values["edge.attempts.pay"] == 1
+            assert values["edge.in_flight"] == 1
+            waiting.writer.close()  # the caller leaves before its answer
+            await until(lambda: node.engine.metrics.open_requests == 0)
             release.set()
 
     run(test())
 
 
-def test_emptied_by_hand_it_keeps_nobody_and_comes_back(
+def test_lameduck_closes_connections_and_can_be_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(listener, "EMPTY_AFTER_S", 0.3)
@@ -164,12 +169,12 @@
                 assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await ready(balancer) == 503
             assert (await call(node, "GET", "/_ready"))[0] == 503
-            answer = await client.ask()  # a kept connection is of use for a while
+            answer = await client.ask()  # a kept connection still serves requests for a while
             assert answer is not None and answer.status == 200
-            assert await client.reader.read() == b""  # and then it ends, though nothing was asked on it
+            assert await client.reader.read() == b""  # then it is closed, although no request was sent on it
             await until(lambda: not node.server.connections)
             late = await balancer.connect()
-            answer = await late.ask()  # whoever comes all the same is served, once
+            answer = await late.ask()  # a new connection still serves one request
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(2):
                 assert (await call(node, "PUT", "/_lameduck/off"))[0] == 200
@@ -179,25 +184,25 @@
     run(test())
 
 
-def test_a_new_version_takes_the_socket_and_the_bans_over(tmp_path: Path) -> None:
+def test_a_new_version_takes_over_the_socket_and_the_detached_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
         async with served(tmp_path, first, second) as (balancer, old):
             assert (await call(old, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             kept = await balancer.connect()
             assert (await kept.ask()) is not None
-            new = await operated(
+            new = await start_node(
                 config_data([member("s0", first.host_port), member("s1", second.host_port)]), tmp_path
             )
             assert new.server.port == old.server.port
             await until(lambda: bool(old._links))
             assert (await call(new, "GET", "/_ready"))[0] == 200
-            # A call to either is heard by both.
+            # A call to one version takes effect in both.
             assert (await call(old, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
             assert (await call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
-            await until(lambda: new._told.out == {"s1"})
+            await until(lambda: new._applied.detached == {"s1"})
             stopped = asyncio.ensure_future(old.stop())
-            answer = await kept.ask()  # what is open stays of use, and ends with its answer
+            answer = await kept.ask()  # an open connection serves one more request and is closed
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(30):
                 client = await Balancer(new).connect()
@@ -206,7 +211,7 @@
                 client.writer.close()
             await stopped
             await until(lambda: not new._links)
-            assert new.server._max_open > old.server._max_open  # it has all descriptors again
+            assert new.server._max_open > old.server._max_open  # the new version has all descriptors
             assert len(first.got) >= 30
             new.endpoint.close()
             new.server.close()
@@ -221,7 +226,7 @@
         async with served(tmp_path, upstream) as (_, node):
             data = config_data([member("s0", upstream.host_port)])
             for _ in range(2):
-                new = await operated(data, tmp_path)
+                new = await start_node(data, tmp_path)
                 await node.stop()
                 await until(lambda new=new: not new._links)  # type: ignore[misc]
                 node = new
@@ -234,10 +239,12 @@
     run(test())
 
 
-def test_what_is_left_of_a_dead_version_does_not_keep_a_new_one_from_serving(tmp_path: Path) -> None:
-    dead = socket.socket(socket.AF_UNIX)
-    dead.bind(str(tmp_path / "passpost-n0.sock"))
-    dead.close()
+def test_files_of_a_dead_version_do_not_stop_a_new_one_and_its_detached_upstreams_are_kept(
+    tmp_path: Path,
+) -> None:
+    dead_socket = socket.socket(socket.AF_UNIX)
+    dead_socket.bind(str(tmp_path / "passpost-n0.sock"))
+    dead_socket.close()
     (tmp_path / "passpost-n0.bans").write_text(json.dumps({"out": ["s0"], "back": {}}))
 
     async def test() -> None:
@@ -250,29 +257,31 @@
 
 
 @pytest.mark.parametrize("answer", [b"", b"no\n", b"passpost 9\n"])
-def test_an_answer_that_hands_nothing_over_is_let_be(tmp_path: Path, answer: bytes) -> None:
+def test_an_unrecognized_handover_answer_is_ignored(tmp_path: Path, answer: bytes) -> None:
     listener = socket.socket(socket.AF_UNIX)
     listener.bind(str(tmp_path / "x.sock"))
     listener.listen()
 
     async def test() -> None:
-        taking = asyncio.get_running_loop().run_in_executor(None, handover.take, tmp_path / "x.sock")
+        result = asyncio.get_running_loop().run_in_executor(
+            None, handover.request_handover, tmp_path / "x.sock"
+        )
         connection, _ = await asyncio.get_running_loop().run_in_executor(None, listener.accept)
         connection.send(answer)
         connection.close()
-        assert await taking is None
+        assert await result is None
 
     run(test())
     listener.close()
 
 
-def test_a_folder_with_a_long_name_will_do(tmp_path: Path) -> None:
-    long = tmp_path / ("a" * 120)
-    long.mkdir()
+def test_a_handover_works_in_a_folder_with_a_long_path(tmp_path: Path) -> None:
+    long_path = tmp_path / ("a" * 120)
+    long_path.mkdir()
 
     async def test() -> None:
-        async with served(long, FakeServer()) as (_, old):
-            new = await operated(config_data([]), long)
+        async with served(long_path, FakeServer()) as (_, old):
+            new = await start_node(config_data([]), long_path)
             assert new.server.port == old.server.port
             new.endpoint.close()
             new.server.close()
@@ -281,7 +290,7 @@
     run(test())
 
 
-def test_without_a_folder_it_serves_and_says_so(caplog: pytest.LogCaptureFixture) -> None:
+def test_without_a_state_folder_it_serves_and_logs_a_warning(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         async with served(None, FakeServer()) as (balancer, node):
             assert (await call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
@@ -291,27 +300,27 @@
     assert "TMPDIR" in caplog.text
 
 
-def test_the_folder_is_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_state_folder_is_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     assert folder() == tmp_path
-    for none in ("", str(tmp_path / "none")):
-        monkeypatch.setenv("TMPDIR", none)
+    for unusable in ("", str(tmp_path / "none")):
+        monkeypatch.setenv("TMPDIR", unusable)
         assert folder() is None
 
 
-def test_the_environment_may_name_the_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_operators_address_may_come_from_the_environment(monkeypatch: pytest.MonkeyPatch) -> None:
     assert config.read(config_data([])).ops is None
     monkeypatch.setenv("EDGE_OPS", "127.0.0.1:12000")
     assert config.read(config_data([])).ops == ("127.0.0.1", 12000)
     assert config.read(config_data([]) | {"ops": "127.0.0.1:12001"}).ops == ("127.0.0.1", 12001)
 
 
-def test_a_new_version_that_dies_leaves_the_old_one_whole(tmp_path: Path) -> None:
+def test_after_a_new_version_dies_the_old_one_serves_with_all_its_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with served(tmp_path, upstream) as (balancer, old):
             callers, upstreams = old.server._max_open, old.upstreams._max_open
-            new = await operated(config_data([member("s0", upstream.host_port)]), tmp_path)
+            new = await start_node(config_data([member("s0", upstream.host_port)]), tmp_path)
             await until(lambda: old._successors == 1)
             assert old.server._max_open < callers and old.upstreams._max_open < upstreams
             new.endpoint.close()
@@ -319,12 +328,12 @@
             new.server.close()
             new.close()
             for link in new._links:
-                link.close()  # as the end of its process does
+                link.close()  # as the kernel does when its process dies
             await until(lambda: old._successors == 0 and not old._links)
             assert (old.server._max_open, old.upstreams._max_open) == (callers, upstreams)
             answer = await (await balancer.connect()).ask()
             assert answer is not None and answer.status == 200
-            again = await operated(config_data([member("s0", upstream.host_port)]), tmp_path)
+            again = await start_node(config_data([member("s0", upstream.host_port)]), tmp_path)
             assert again.server.port == old.server.port
             balancer.hang_up()
             await old.stop()
@@ -337,9 +346,7 @@
     run(test())
 
 
-def test_a_balancer_being_emptied_ends_on_sigterm_as_any(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_balancer_in_lameduck_stops_on_sigterm(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "EMPTY_AFTER_S", 0.0)
     monkeypatch.setattr(listener, "ACCEPT_AFTER_STOP_S", 0.0)
 
@@ -361,7 +368,7 @@
             node.reload(node._config)
             node.reload_failed()
             node.reload_failed()
-            seen = await figures(node)
-            assert (seen["edge.reloads_ok"], seen["edge.reloads_failed"]) == (1, 2)
+            values = await metrics(node)
+            assert (values["edge.reloads_ok"], values["edge.reloads_failed"]) == (1, 2)
 
     run(test())
--- a/tests/ops/test_processes.py
+++ b/tests/ops/test_processes.py
@@ -1,4 +1,4 @@
-"""Two versions as real processes: started by the same line, ended by SIGTERM, with callers at them all the time."""
+"""Handovers between real processes: each is started with the same command and ended by SIGTERM, under constant load."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that were free a moment ago."""
+    """Ports that were free when this was called; another process may take one before it is used."""
     listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [listener.getsockname()[1] for listener in listeners]
     for listener in listeners:
@@ -26,7 +26,7 @@
 
 
 async def call(port: int, method: str, target: str) -> int:
-    """The status of an operator's call; 0 while nobody listens."""
+    """The status of an operator's call; 0 if the connection is refused."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
     except OSError:
@@ -37,29 +37,29 @@
     return int(answer.split()[1])
 
 
-def test_versions_follow_each_other_under_load_and_lose_nothing(tmp_path: Path) -> None:
+def test_handovers_between_three_versions_under_load_lose_no_request(tmp_path: Path) -> None:
     listen, *ops = free_ports(4)
-    lost: list[str] = []
+    lost_requests: list[str] = []
     answered = 0
     stopped = asyncio.Event()
 
-    async def caller(number: int) -> None:
+    async def call_repeatedly(number: int) -> None:
         nonlocal answered
-        writer, turn = None, 0
+        writer, request_count = None, 0
         while not stopped.is_set():
-            turn += 1
+            request_count += 1
             try:
                 if writer is None:
                     reader, writer = await asyncio.open_connection("127.0.0.1", listen)
                 writer.write(
-                    f"GET /read HTTP/1.1\r\nX-Txn: {number}-{turn}\r\nX-Remaining: 9\r\n\r\n".encode()
+                    f"GET /read HTTP/1.1\r\nX-Txn: {number}-{request_count}\r\nX-Remaining: 9\r\n\r\n".encode()
                 )
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = re.search(rb"Content-Length: (\d+)", head)
                 assert length is not None
                 await reader.readexactly(int(length[1]))
             except (OSError, asyncio.IncompleteReadError) as error:
-                lost.append(f"{number}-{turn}: {error!r}")
+                lost_requests.append(f"{number}-{request_count}: {error!r}")
                 return
             answered += head.startswith(b"HTTP/1.1 200")
             if b"Connection: close" in head:
@@ -83,24 +83,24 @@
             await upstream.start()
         process = await start(upstreams, ops[0])
         assert await call(ops[0], "PUT", "/_upstreams/detach?id=s0") == 200
-        callers = [asyncio.ensure_future(caller(i)) for i in range(4)]
+        callers = [asyncio.ensure_future(call_repeatedly(i)) for i in range(4)]
         for port in ops[1:]:
-            await until(lambda: answered > 20 or bool(lost))
+            await until(lambda: answered > 20 or bool(lost_requests))
             new = await start(upstreams, port)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             process = new
             count = answered
-            await until(lambda count=count: answered > count + 20 or bool(lost))  # type: ignore[misc]
-        assert upstreams[0].got == []  # left out by a call to the first of three versions
+            await until(lambda count=count: answered > count + 20 or bool(lost_requests))  # type: ignore[misc]
+        assert upstreams[0].got == []  # detached by a call to the first of three versions
         assert await call(ops[-1], "PUT", "/_upstreams/attach?id=s0") == 200
-        await until(lambda: bool(upstreams[0].got) or bool(lost))
+        await until(lambda: bool(upstreams[0].got) or bool(lost_requests))
         stopped.set()
         await asyncio.gather(*callers)
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
         for upstream in upstreams:
             upstream.stop()
-        assert lost == []
+        assert lost_requests == []
 
     run(test())
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -1,4 +1,4 @@
-"""Lists of 1,024 servers and more, sent through what one version hands on to the next and through the rules."""
+"""The handover, the file of detached upstreams and the balancer with lists of 1,024 servers and more."""
 
 from __future__ import annotations
 
@@ -9,61 +9,61 @@
 import pytest
 
 from passpost.ops import heritage
-from passpost.ops.handover import Link
-from passpost.ops.model import Bans
-from passpost.ops.rules import difference
-from passpost.ops.store import Store
+from passpost.ops.handover import PeerLink
+from passpost.ops.model import DetachState
+from passpost.ops.rules import diff
+from passpost.ops.store import DetachStore
 from tests.helpers import READ, settings
 from tests.loopback import run, until
 from umberworks.interface import Inherited, Known, ListKind, ListUpdate, Member, RequestArrived, Send
 from umberworks.rules import Balancer
 
-SIZES = (1_024, 2_000, 4_096)
+SERVER_COUNTS = (1_024, 2_000, 4_096)
 
 
-def known(count: int) -> Inherited:
+def learned_of(count: int) -> Inherited:
     servers = (
         Known(f"s-{i:08x}", 1.7e12 + i / 7, i / 3, i / 7, i / 11, i / 13, 1 / (i + 3)) for i in range(count)
     )
     return Inherited(0.1234567890123, tuple(servers))
 
 
-@pytest.mark.parametrize("count", SIZES)
-def test_a_long_line_comes_whole_however_little_the_socket_takes_at_once(count: int) -> None:
+@pytest.mark.parametrize("count", SERVER_COUNTS)
+def test_a_long_line_arrives_complete_over_a_socket_with_a_small_buffer(count: int) -> None:
     async def test() -> None:
-        ours, theirs = socket.socketpair()
-        ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
-        heard: list[bytes] = []
-        ends: list[str] = []
-        sender = Link(ours, lambda: ends.append("sender"))
-        Link(theirs, lambda: ends.append("receiver"), heard.append)
-        sender.say(heritage.write(known(count)))
-        sender.say(b"and another")
-        await until(lambda: len(heard) == 2)
-        assert heritage.read(heard[0]) == known(count) and heard[1] == b"and another"
+        near_end, far_end = socket.socketpair()
+        near_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+        received: list[bytes] = []
+        closed: list[str] = []
+        sender = PeerLink(near_end, lambda: closed.append("sender"))
+        PeerLink(far_end, lambda: closed.append("receiver"), received.append)
+        sender.send_line(heritage.write(learned_of(count)))
+        sender.send_line(b"and another")
+        await until(lambda: len(received) == 2)
+        assert heritage.read(received[0]) == learned_of(count) and received[1] == b"and another"
         sender.close()
-        await until(lambda: ends == ["receiver"])
+        await until(lambda: closed == ["receiver"])
 
     run(test())
 
 
-def test_a_line_to_a_side_that_has_gone_is_no_harm() -> None:
+def test_a_line_sent_to_a_closed_link_is_dropped() -> None:
     async def test() -> None:
-        ours, theirs = socket.socketpair()
-        ends: list[str] = []
-        link = Link(ours, lambda: ends.append("ended"))
-        theirs.close()
-        link.say(heritage.write(known(2_000)))
-        await until(lambda: ends == ["ended"])
-        link.say(b"later")
+        near_end, far_end = socket.socketpair()
+        closed: list[str] = []
+        link = PeerLink(near_end, lambda: closed.append("ended"))
+        far_end.close()
+        link.send_line(heritage.write(learned_of(2_000)))
+        await until(lambda: closed == ["ended"])
+        link.send_line(b"later")
         await asyncio.sleep(0)
-        assert ends == ["ended"]
+        assert closed == ["ended"]
 
     run(test())
 
 
-@pytest.mark.parametrize("count", SIZES)
-def test_all_servers_are_told_of_and_drawn(count: int) -> None:
+@pytest.mark.parametrize("count", SERVER_COUNTS)
+def test_what_was_learned_of_all_servers_is_passed_on_and_requests_are_sent(count: int) -> None:
     old, new = (Balancer(settings(balancers=1_024), seed) for seed in (1, 2))
     members = tuple(Member(f"s{i}") for i in range(count))
     for one in (old, new):
@@ -79,11 +79,11 @@
     assert any(isinstance(a, Send) for a in actions)
 
 
-@pytest.mark.parametrize("count", SIZES)
-def test_so_many_bans_are_kept_and_seen_by_the_other_version(count: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize("count", SERVER_COUNTS)
+def test_a_large_state_is_stored_and_read_by_the_other_version(count: int, tmp_path: Path) -> None:
     path, names = tmp_path / "x.bans", {f"s-{i:08x}" for i in range(count)}
-    first, second = Store(path), Store(path)
-    first.change(lambda bans: Bans(frozenset(names), {f"b{i}": float(i) for i in range(count)}))
-    assert second.look() and second.bans == first.bans
-    out, back = difference(Bans(), second.bans)
-    assert len(out) == len(back) == count
+    first, second = DetachStore(path), DetachStore(path)
+    first.change(lambda state: DetachState(frozenset(names), {f"b{i}": float(i) for i in range(count)}))
+    assert second.refresh() and second.state == first.state
+    detached, attached = diff(DetachState(), second.state)
+    assert len(detached) == len(attached) == count
