--- a/passpost/trace/__init__.py
+++ b/passpost/trace/__init__.py
@@ -1,1 +1,1 @@
-"""What became of each request, a line in the log each; and a day's lines of all balancers added up."""
+"""Trace lines in the log for each request and each call to discovery, and summaries of the lines of all balancers."""
--- a/passpost/trace/discovery.py
+++ b/passpost/trace/discovery.py
@@ -1,4 +1,4 @@
-"""Writes a line for each call for the list that is over. Off by default, and not imported then: PASSPOST_TRACE=1."""
+"""Logs one line when a call to discovery ends. Off by default, and then not imported; PASSPOST_TRACE=1 turns it on."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from passpost.host import HOST
 from passpost.http1 import BadAnswerError
 from passpost.listing import Listing
-from passpost.trace.model import Call, write_call
+from passpost.trace.model import ListCallEntry, format_list_call
 from umberworks.interface import Readiness
 
 log = logging.getLogger(__name__)
@@ -17,10 +17,10 @@
 
 
 class TracedDiscovery(Discovery):
-    """Follows the list as its base does, and writes what became of each call."""
+    """Follows the server list as `Discovery` does, and logs how each call ended."""
 
     async def _call(self, line: Line, revision: int | None, wait_ms: int) -> Listing:
-        begun = HOST.unix()
+        start = HOST.unix()
         end = "dropped"
         away: tuple[tuple[str, str], ...] = ()
         try:
@@ -41,9 +41,14 @@
             end = "unreached"
             raise
         finally:
-            if not (self._pushed and end == "answered" and not away):  # an agent is asked many times a second
+            # A local agent is called many times a second: its calls are logged only if they fail or tell of a server
+            # that leaves.
+            if not (self._pushed and end == "answered" and not away):
                 place = f"{line.address[0]}:{line.address[1]}"
-                took = round((HOST.unix() - begun) * 1000)
+                took_ms = round((HOST.unix() - start) * 1000)
                 log.info(
-                    "%s", write_call(Call(place, revision, wait_ms, round(begun * 1000), took, end, away))
+                    "%s",
+                    format_list_call(
+                        ListCallEntry(place, revision, wait_ms, round(start * 1000), took_ms, end, away)
+                    ),
                 )
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -1,4 +1,4 @@
-"""Engines that write a line for each request that is over. Off by default, and not imported then: PASSPOST_TRACE=1."""
+"""Engines that log one line when a request ends. Off by default, and then not imported; enabled by PASSPOST_TRACE=1."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from passpost.engine import Caller, Engine, _Open
 from passpost.http1 import Answer
 from passpost.ops.counting import CountingEngine
-from passpost.trace.model import End, Entry, Try, write
+from passpost.trace.model import AttemptEntry, RequestEnd, RequestEntry, format_request
 from passpost.upstreams.attempt import Outgoing
 from umberworks import interface as face
 from umberworks.interface import Outcome
 
 log = logging.getLogger(__name__)
 
-_TXN = re.compile(rb"\r\nX-Txn:[ \t]*([^\r\n ]+)", re.IGNORECASE)
+_TXN_HEADER = re.compile(rb"\r\nX-Txn:[ \t]*([^\r\n ]+)", re.IGNORECASE)
 
 
-class _Trace:
-    """A request as far as it has come."""
+class _RequestTrace:
+    """What has happened so far to one request. All times are in milliseconds on the engine's clock."""
 
-    __slots__ = ("at", "class_name", "end", "ended", "sent", "tries", "txn", "written")
+    __slots__ = ("arrived_ms", "class_name", "end", "ended_ms", "sent_ms", "tries", "txn", "written_ms")
 
-    def __init__(self, txn: str, class_name: str, at: float) -> None:
-        self.txn, self.class_name, self.at, self.ended = txn, class_name, at, at
-        self.end = End.LEFT
-        self.sent: dict[int, float] = {}
-        self.written: dict[int, float] = {}
-        self.tries: dict[int, Try] = {}
+    def __init__(self, txn: str, class_name: str, arrived_ms: float) -> None:
+        self.txn, self.class_name, self.arrived_ms, self.ended_ms = txn, class_name, arrived_ms, arrived_ms
+        self.end = RequestEnd.LEFT  # replaced when the request ends in another way
+        self.sent_ms: dict[int, float] = {}
+        self.written_ms: dict[int, float] = {}
+        self.tries: dict[int, AttemptEntry] = {}
 
 
 class TracedEngine(Engine):
-    """Writes what became of each request and of each attempt, once no attempt is out."""
+    """Logs how each request and each of its attempts ended, once it has its answer and no attempt is running."""
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        super().__init__(*args, **more)
-        self._traces: dict[int, _Trace] = {}
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
+        self._traces: dict[int, _RequestTrace] = {}
 
     def arrived(
         self,
@@ -48,34 +48,34 @@
         caller: Caller,
         free_connections: float,
     ) -> int:
-        """As the engine's."""
-        found = _TXN.search(outgoing.head)
+        """As in `Engine`; also starts the request's trace."""
+        found = _TXN_HEADER.search(outgoing.head)
         txn = found[1].decode("latin-1") if found is not None else "-"
         number = self._count + 1
-        self._traces[number] = _Trace(txn, class_name, self.now())
+        self._traces[number] = _RequestTrace(txn, class_name, self.now())
         written = outgoing.written
 
-        def note() -> None:
+        def on_written() -> None:
             if written is not None:
                 written()
             self._note_written(number)
 
-        outgoing.written = note
+        outgoing.written = on_written
         return super().arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
     def _carry_out(self, action: face.Action) -> None:
         match action:
             case face.Refuse(number):
-                self._note_end(number, End.REFUSED)
+                self._note_end(number, RequestEnd.REFUSED)
             case face.Fail(number):
-                self._note_end(number, End.FAILED)
+                self._note_end(number, RequestEnd.FAILED)
             case face.Send(number) if (trace := self._traces.get(number)) is not None:
-                trace.sent[len(self._requests[number].attempts)] = self.now()
+                trace.sent_ms[len(self._requests[number].attempts)] = self.now()
         super()._carry_out(action)
 
     def _send(self, action: face.Send) -> None:
         super()._send(action)
-        # On a connection that was there it went out before it had its place.
+        # On an open connection the attempt was written before it was in `request.attempts`, so `on_written` missed it.
         self._note_written(action.request)
 
     def _note_written(self, number: int) -> None:
@@ -83,29 +83,31 @@
         if request is not None and trace is not None:
             for index, attempt in enumerate(request.attempts):
                 if attempt is not None and attempt.is_written():
-                    trace.written.setdefault(index, self.now())
+                    trace.written_ms.setdefault(index, self.now())
 
     def _abandon(self, number: int, status: int) -> None:
-        self._note_end(number, End.FAILED)
+        self._note_end(number, RequestEnd.FAILED)
         super()._abandon(number, status)
 
-    def _note_end(self, number: int, end: End) -> None:
+    def _note_end(self, number: int, end: RequestEnd) -> None:
         request, trace = self._requests.get(number), self._traces.get(number)
         if request is not None and trace is not None and not request.finished:
-            trace.end, trace.ended = end, self.now()
+            trace.end, trace.ended_ms = end, self.now()
 
     def _ended(
         self, number: int, request: _Open, index: int, server: str, outcome: Outcome, answer: Answer | None
     ) -> None:
         trace = self._traces.get(number)
         if trace is not None:
-            now, sent = self.now(), trace.sent.get(index, trace.at)
-            said = outcome.value.replace(" ", "_")
-            out = trace.written.get(index)
-            written = None if out is None else round(out - sent)
-            trace.tries[index] = Try(server, round(sent - trace.at), round(now - sent), said, written)
+            now, sent_ms = self.now(), trace.sent_ms.get(index, trace.arrived_ms)
+            outcome_name = outcome.value.replace(" ", "_")
+            written_at = trace.written_ms.get(index)
+            written_ms = None if written_at is None else round(written_at - sent_ms)
+            trace.tries[index] = AttemptEntry(
+                server, round(sent_ms - trace.arrived_ms), round(now - sent_ms), outcome_name, written_ms
+            )
             if outcome is Outcome.SERVED and not request.finished:
-                trace.end, trace.ended = End.SERVED, now
+                trace.end, trace.ended_ms = RequestEnd.SERVED, now
         super()._ended(number, request, index, server, outcome, answer)
 
     def _forget_if_over(self, number: int, request: _Open) -> None:
@@ -114,10 +116,14 @@
             return
         if (trace := self._traces.pop(number, None)) is not None:
             tries = tuple(trace.tries[i] for i in sorted(trace.tries))
-            took = round((self.now() if trace.end is End.LEFT else trace.ended) - trace.at)
-            entry = Entry(trace.txn, trace.class_name, round(trace.at), took, trace.end, tries)
-            log.info("%s", write(entry))
+            took_ms = round(
+                (self.now() if trace.end is RequestEnd.LEFT else trace.ended_ms) - trace.arrived_ms
+            )
+            entry = RequestEntry(
+                trace.txn, trace.class_name, round(trace.arrived_ms), took_ms, trace.end, tries
+            )
+            log.info("%s", format_request(entry))
 
 
 class TracedCountingEngine(TracedEngine, CountingEngine):
-    """The same, where operators call."""
+    """A traced engine that also counts, for a node with an operators' listener."""
--- a/passpost/trace/folder.py
+++ b/passpost/trace/folder.py
@@ -1,22 +1,23 @@
-"""A folder of balancers' logs, a file each."""
+"""Reads the trace lines from a folder with one log file per balancer."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from pathlib import Path
 
-from passpost.trace.model import read, read_call
+from passpost.trace.model import parse_list_call, parse_request
 from passpost.trace.tables import Asked, Step
 
 
 class NoTraceError(Exception):
-    """There is nothing to add up; one sentence says why."""
+    """There are no trace lines to read; the message says why in one sentence."""
 
 
 def steps(folder: Path) -> Iterator[Step | Asked]:
-    """The entries of all files named *.log, each with its balancer's name; NoTraceError if there is none.
+    """The entries of all *.log files, each with its balancer's name, which is the file's name without `.log`.
 
-    Bytes that are no UTF-8 and lines that are cut short, as by a kill, are passed over.
+    Raises NoTraceError if there are none or a file can't be read. Bytes that are not UTF-8 and incomplete lines, as a
+    killed process leaves them, are skipped.
     """
     if not folder.is_dir():
         raise NoTraceError(f"{folder}: no such folder")
@@ -25,13 +26,13 @@
         for path in sorted(folder.glob("*.log")):
             with path.open(encoding="utf-8", errors="replace") as file:
                 for line in file:
-                    if (entry := read(line)) is not None:
+                    if (entry := parse_request(line)) is not None:
                         found = True
                         yield Step(path.stem, entry)
-                    elif (call := read_call(line)) is not None:
+                    elif (call := parse_list_call(line)) is not None:
                         found = True
                         yield Asked(path.stem, call)
     except OSError as error:
         raise NoTraceError(f"{folder}: {error.strerror or error}") from None
     if not found:
-        raise NoTraceError(f"{folder}: no *.log in it has lines of PASSPOST_TRACE=1")
+        raise NoTraceError(f"{folder}: no *.log file in it has trace lines (written with PASSPOST_TRACE=1)")
--- a/passpost/trace/model.py
+++ b/passpost/trace/model.py
@@ -1,4 +1,4 @@
-"""One request's line, and one call's for the list: written, and read again. No I/O."""
+"""Formats and parses the trace lines of requests and of calls to discovery. No I/O."""
 
 from __future__ import annotations
 
@@ -6,33 +6,37 @@
 import re
 from dataclasses import dataclass
 
-MARK = "trace "  # a line's text begins with it; whatever a log puts before is not looked at
-_LINE = re.compile(
+LINE_PREFIX = "trace "  # starts a request's entry; what the logging puts before it in a line is ignored
+_REQUEST_PATTERN = re.compile(
     r"\btrace txn=(?P<txn>\S+) class=(?P<cls>\S+) at_ms=(?P<at>\d+) took_ms=(?P<took>\d+) end=(?P<end>[a-z]+)"
     r" tries=(?P<tries>\S+)\s*$"
 )
-_TRY = re.compile(r"(?P<server>.+)/(?P<after>\d+)/(?P<took>\d+)/(?P<outcome>[a-z_]+)(?:/(?P<written>\d+))?")
-_CALL = re.compile(
+_ATTEMPT_PATTERN = re.compile(
+    r"(?P<server>.+)/(?P<after>\d+)/(?P<took>\d+)/(?P<outcome>[a-z_]+)(?:/(?P<written>\d+))?"
+)
+_LIST_CALL_PATTERN = re.compile(
     r"\btrace-list place=(?P<place>\S+) after=(?P<after>-|\d+) wait_ms=(?P<wait>\d+) at_ms=(?P<at>\d+)"
     r" took_ms=(?P<took>\d+) end=(?P<end>[a-z0-9_]+) away=(?P<away>\S+)\s*$"
 )
-_OPEN = "-"
+_NO_VALUE = "-"
 
 
-class End(enum.Enum):
-    """How a request ended at a balancer."""
+class RequestEnd(enum.Enum):
+    """How a request ended at one balancer."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    LEFT = "left"  # the caller had gone
+    LEFT = "left"  # the caller left before its answer
 
 
 @dataclass(frozen=True, slots=True)
-class Try:
-    """One attempt: chosen after so long, for so long, both in milliseconds, and its outcome by the module's name.
+class AttemptEntry:
+    """One attempt of a request.
 
-    `written_ms`: how long after the choice it had gone out, None if it never did.
+    `after_ms`: from the request's arrival to the choice of the server. `took_ms`: from that choice to the end of the
+    attempt. `written_ms`: from that choice until the request was written in full, None if it never was. `outcome`: the
+    value of the decision module's `Outcome`, with "_" for a space.
     """
 
     server: str
@@ -43,59 +47,68 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
-    """One request at one balancer; `at_ms` is Unix time in milliseconds."""
+class RequestEntry:
+    """One request at one balancer; `at_ms`, the time of its arrival, is Unix time in milliseconds."""
 
     txn: str
     class_name: str
     at_ms: int
     took_ms: int
-    end: End
-    tries: tuple[Try, ...]
+    end: RequestEnd
+    tries: tuple[AttemptEntry, ...]
 
     def reason(self) -> str:
-        """Why it was not served: the last attempt's outcome, or that there was none."""
-        if self.end is End.SERVED:
+        """Why the request was not served: the last attempt's outcome, or "not_sent" without attempts."""
+        if self.end is RequestEnd.SERVED:
             return "served"
         return self.tries[-1].outcome if self.tries else "not_sent"
 
 
-def write(entry: Entry) -> str:
-    """An entry as a line's text."""
+def format_request(entry: RequestEntry) -> str:
+    """The text of a trace line, without what the logging puts before it."""
     tries = ",".join(
         f"{t.server}/{t.after_ms}/{t.took_ms}/{t.outcome}{'' if t.written_ms is None else f'/{t.written_ms}'}"
         for t in entry.tries
     )
     return (
-        f"{MARK}txn={entry.txn} class={entry.class_name} at_ms={entry.at_ms} took_ms={entry.took_ms}"
-        f" end={entry.end.value} tries={tries or _OPEN}"
+        f"{LINE_PREFIX}txn={entry.txn} class={entry.class_name} at_ms={entry.at_ms} took_ms={entry.took_ms}"
+        f" end={entry.end.value} tries={tries or _NO_VALUE}"
     )
 
 
-def read(line: str) -> Entry | None:
-    """The entry of a line of a log; None if it holds none, or one that is cut short."""
-    if MARK not in line or (found := _LINE.search(line)) is None:
+def parse_request(line: str) -> RequestEntry | None:
+    """The entry in a log line; None if the line has no entry or an incomplete one."""
+    if LINE_PREFIX not in line or (found := _REQUEST_PATTERN.search(line)) is None:
         return None
     tries = []
-    if found["tries"] != _OPEN:
+    if found["tries"] != _NO_VALUE:
         for text in found["tries"].split(","):
-            if (one := _TRY.fullmatch(text)) is None:
+            if (attempt := _ATTEMPT_PATTERN.fullmatch(text)) is None:
                 return None
-            written = None if one["written"] is None else int(one["written"])
-            tries.append(Try(one["server"], int(one["after"]), int(one["took"]), one["outcome"], written))
+            written = None if attempt["written"] is None else int(attempt["written"])
+            tries.append(
+                AttemptEntry(
+                    attempt["server"],
+                    int(attempt["after"]),
+                    int(attempt["took"]),
+                    attempt["outcome"],
+                    written,
+                )
+            )
     try:
-        end = End(found["end"])
+        end = RequestEnd(found["end"])
     except ValueError:
         return None
-    return Entry(found["txn"], found["cls"], int(found["at"]), int(found["took"]), end, tuple(tries))
+    return RequestEntry(found["txn"], found["cls"], int(found["at"]), int(found["took"]), end, tuple(tries))
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One call for the list at one place; `at_ms` is Unix time in milliseconds, `after` None for the whole list.
+class ListCallEntry:
+    """One call to discovery at the address `place`; `at_ms`, its start, is Unix time in milliseconds.
 
-    `end`: answered, status_503 and the like, timed_out, cut_off, unreached or dropped. `away`: servers that the answer
-    says leave ("leaving") or have left ("left").
+    `after`: the revision after which changes were asked for, None for the whole list. `end`: answered, timed_out,
+    cut_off, unreached, dropped (the call was cancelled), or what was wrong with the answer, such as status_503.
+    `away`: servers in the answer with their phase, "leaving" or "left".
     """
 
     place: str
@@ -107,25 +120,25 @@
     away: tuple[tuple[str, str], ...] = ()
 
 
-def write_call(call: Call) -> str:
-    """A call as a line's text."""
+def format_list_call(call: ListCallEntry) -> str:
+    """The text of a trace line, without what the logging puts before it."""
     away = ",".join(f"{server}/{phase}" for server, phase in call.away)
     return (
-        f"trace-list place={call.place} after={_OPEN if call.after is None else call.after} wait_ms={call.wait_ms}"
-        f" at_ms={call.at_ms} took_ms={call.took_ms} end={call.end} away={away or _OPEN}"
+        f"trace-list place={call.place} after={_NO_VALUE if call.after is None else call.after} wait_ms={call.wait_ms}"
+        f" at_ms={call.at_ms} took_ms={call.took_ms} end={call.end} away={away or _NO_VALUE}"
     )
 
 
-def read_call(line: str) -> Call | None:
-    """The call of a line of a log; None if it holds none, or one that is cut short."""
-    if "trace-list " not in line or (found := _CALL.search(line)) is None:
+def parse_list_call(line: str) -> ListCallEntry | None:
+    """The call to discovery in a log line; None if the line has none or an incomplete one."""
+    if "trace-list " not in line or (found := _LIST_CALL_PATTERN.search(line)) is None:
         return None
     away = []
-    for text in found["away"].split(",") if found["away"] != _OPEN else ():
+    for text in found["away"].split(",") if found["away"] != _NO_VALUE else ():
         server, _, phase = text.rpartition("/")
         if not server or phase not in ("leaving", "left"):
             return None
         away.append((server, phase))
-    after = None if found["after"] == _OPEN else int(found["after"])
+    after = None if found["after"] == _NO_VALUE else int(found["after"])
     wait, at, took = int(found["wait"]), int(found["at"]), int(found["took"])
-    return Call(found["place"], after, wait, at, took, found["end"], tuple(away))
+    return ListCallEntry(found["place"], after, wait, at, took, found["end"], tuple(away))
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -1,4 +1,4 @@
-"""A day's entries of all balancers added up, and one request followed through them. No I/O."""
+"""Sums up the trace entries of all balancers, and finds those of one request or one server. No I/O."""
 
 from __future__ import annotations
 
@@ -6,30 +6,33 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from passpost.trace.model import Call, End, Entry
+from passpost.trace.model import ListCallEntry, RequestEnd, RequestEntry
 
 Row = tuple[str, dict[str, int]]
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One balancer's part of a request."""
+    """One request, as traced by one balancer."""
 
     balancer: str
-    entry: Entry
+    entry: RequestEntry
 
 
 @dataclass(frozen=True, slots=True)
 class Asked:
-    """One balancer's call for the list."""
+    """One call to discovery, as traced by one balancer."""
 
     balancer: str
-    call: Call
+    call: ListCallEntry
 
 
 @dataclass(frozen=True, slots=True)
 class Tables:
-    """Counts: requests by second since the first and by reason, attempts by upstream."""
+    """Counts of requests by second and by the reason why they were not served, and of attempts by upstream.
+
+    A second's name is its number from the second of the first request.
+    """
 
     seconds: tuple[Row, ...]
     upstreams: tuple[Row, ...]
@@ -37,7 +40,10 @@
 
 
 def add_up(steps: Iterable[Step | Asked]) -> Tables:
-    """The tables. Seconds count from the first request of all; upstreams come by failed attempts, reasons by count."""
+    """Sum up the requests; calls to discovery are skipped.
+
+    Upstreams are sorted by attempts that were not served and reasons by requests, both with the largest number first.
+    """
     seconds: dict[int, Counter[str]] = defaultdict(Counter)
     upstreams: dict[str, Counter[str]] = defaultdict(Counter)
     reasons: dict[str, Counter[str]] = defaultdict(Counter)
@@ -49,25 +55,31 @@
         second["requests"] += 1
         second[entry.end.value] += 1
         second["attempts"] += len(entry.tries)
-        for one in entry.tries:
-            upstreams[one.server]["attempts"] += 1
-            upstreams[one.server][one.outcome] += 1
-        if entry.end is not End.SERVED:
+        for attempt in entry.tries:
+            upstreams[attempt.server]["attempts"] += 1
+            upstreams[attempt.server][attempt.outcome] += 1
+        if entry.end is not RequestEnd.SERVED:
             reasons[f"{entry.end.value}:{entry.reason()}"][step.balancer] += 1
     first = min(seconds, default=0)
     return Tables(
         tuple((str(at - first), dict(seconds[at])) for at in sorted(seconds)),
-        tuple((n, dict(upstreams[n])) for n in sorted(upstreams, key=lambda n: (-_lost(upstreams[n]), n))),
-        tuple((n, _spread(reasons[n])) for n in sorted(reasons, key=lambda n: (-reasons[n].total(), n))),
+        tuple(
+            (n, dict(upstreams[n]))
+            for n in sorted(upstreams, key=lambda n: (-_unserved_attempts(upstreams[n]), n))
+        ),
+        tuple(
+            (n, _count_by_balancer(reasons[n]))
+            for n in sorted(reasons, key=lambda n: (-reasons[n].total(), n))
+        ),
     )
 
 
-def _lost(counts: Counter[str]) -> int:
+def _unserved_attempts(counts: Counter[str]) -> int:
     return counts["attempts"] - counts["served"]
 
 
-def _spread(by_balancer: Counter[str]) -> dict[str, int]:
-    """How many, over how many balancers, and the most at one: whether all refuse, or a few."""
+def _count_by_balancer(by_balancer: Counter[str]) -> dict[str, int]:
+    """Requests, balancers that had them, and the most at one balancer: shows whether all balancers refuse or a few."""
     return {
         "requests": by_balancer.total(),
         "balancers": len(by_balancer),
@@ -76,9 +88,10 @@
 
 
 def follow(steps: Iterable[Step | Asked], txn: str) -> list[Step]:
-    """The parts of one request, in the order in which balancers took it up.
+    """The entries of one request, in the order in which balancers received it.
 
-    Calls of later tiers have ids of their own (PROTOCOL), which an upstream's own words must tell.
+    The requests that an upstream sends to later tiers have ids of their own (PROTOCOL) and are not included; only the
+    upstream itself can tell which belong to this one.
     """
     found = (s for s in steps if isinstance(s, Step) and s.entry.txn == txn)
     return sorted(found, key=lambda s: (s.entry.at_ms, s.balancer))
@@ -86,44 +99,48 @@
 
 @dataclass(frozen=True, slots=True)
 class Moment:
-    """Something that happened around a server; `at_ms` is Unix time in milliseconds."""
+    """A call to discovery, or an attempt at a server; `at_ms` is Unix time in milliseconds.
+
+    `late_ms`: for an attempt that was written, the time from the first notice to any balancer that the server leaves to
+    the choice of the server for this attempt; else 0.
+    """
 
     at_ms: int
     balancer: str
     text: str
-    late_ms: int = 0  # of what went out: how long ago the first balancer had heard that the server leaves
+    late_ms: int = 0
 
 
 def around(steps: Iterable[Step | Asked], server: str, balancer: str | None = None) -> list[Moment]:
-    """What balancers heard of a server's leaving and what went out to it, in order of time.
+    """The discovery answers in which a server leaves, and the attempts at that server, in order of time.
 
-    With `balancer` its calls for the list are in it too, whatever they told, and no other balancer's sends.
+    With `balancer`, only that balancer's attempts, and all its calls to discovery, whatever they returned.
     """
-    heard, sent = [], []
+    list_calls, attempts = [], []
     for step in steps:
-        ours = balancer in (None, step.balancer)
+        is_selected = balancer in (None, step.balancer)
         if isinstance(step, Asked):
             call = step.call
             phases = [phase for name, phase in call.away if name == server]
-            if phases or (balancer is not None and ours):
-                told = f"; {server} is {phases[-1]}" if phases else ""
+            if phases or (balancer is not None and is_selected):
+                notice = f"; {server} is {phases[-1]}" if phases else ""
                 after = "whole list" if call.after is None else f"after {call.after}"
-                text = (
-                    f"{call.place} {after}, wait {call.wait_ms} ms: {call.end} after {call.took_ms} ms{told}"
-                )
-                heard.append((bool(phases), Moment(call.at_ms + call.took_ms, step.balancer, text)))
-        elif ours:
-            for one in step.entry.tries:
-                if one.server == server:
-                    at = step.entry.at_ms + one.after_ms
-                    gone = (
-                        "never went out" if one.written_ms is None else f"went out after {one.written_ms} ms"
+                text = f"{call.place} {after}, wait {call.wait_ms} ms: {call.end} after {call.took_ms} ms{notice}"
+                list_calls.append((bool(phases), Moment(call.at_ms + call.took_ms, step.balancer, text)))
+        elif is_selected:
+            for attempt in step.entry.tries:
+                if attempt.server == server:
+                    chosen_ms = step.entry.at_ms + attempt.after_ms
+                    written = (
+                        "never went out"
+                        if attempt.written_ms is None
+                        else f"went out after {attempt.written_ms} ms"
                     )
-                    text = f"{step.entry.txn} chosen; {gone}, {one.outcome} after {one.took_ms} ms"
-                    sent.append((one.written_ms is not None, Moment(at, step.balancer, text)))
-    first = min((moment.at_ms for names, moment in heard if names), default=None)
-    found = [moment for _, moment in heard]
-    for went, moment in sent:
-        late = moment.at_ms - first if first is not None and went else 0
-        found.append(Moment(moment.at_ms, moment.balancer, moment.text, max(late, 0)))
-    return sorted(found, key=lambda m: (m.at_ms, m.balancer))
+                    text = f"{step.entry.txn} chosen; {written}, {attempt.outcome} after {attempt.took_ms} ms"
+                    attempts.append((attempt.written_ms is not None, Moment(chosen_ms, step.balancer, text)))
+    first_notice_ms = min((moment.at_ms for is_notice, moment in list_calls if is_notice), default=None)
+    moments = [moment for _, moment in list_calls]
+    for was_written, moment in attempts:
+        late_ms = moment.at_ms - first_notice_ms if first_notice_ms is not None and was_written else 0
+        moments.append(Moment(moment.at_ms, moment.balancer, moment.text, max(late_ms, 0)))
+    return sorted(moments, key=lambda m: (m.at_ms, m.balancer))
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace: a line a request, read again whatever else lies in a log, added up, and off by default."""
+"""Trace lines: written for each request and call to discovery, parsed from any log, summed up, and off by default."""
 
 from __future__ import annotations
 
@@ -20,21 +20,30 @@
 from passpost.node import Node
 from passpost.trace.discovery import TracedDiscovery
 from passpost.trace.engine import TracedCountingEngine, TracedEngine
-from passpost.trace.model import Call, End, Entry, Try, read, read_call, write, write_call
+from passpost.trace.model import (
+    AttemptEntry,
+    ListCallEntry,
+    RequestEnd,
+    RequestEntry,
+    format_list_call,
+    format_request,
+    parse_list_call,
+    parse_request,
+)
 from passpost.trace.tables import Asked, Step, add_up, around, follow
 from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
-TRIES = st.builds(
-    Try,
+ATTEMPTS = st.builds(
+    AttemptEntry,
     WORDS,
     st.integers(0, 10**6),
     st.integers(0, 10**6),
     st.sampled_from(["served", "turned_away", "timed_out", "error"]),
     st.none() | st.integers(0, 10**6),
 )
-CALLS = st.builds(
-    Call,
+LIST_CALLS = st.builds(
+    ListCallEntry,
     WORDS,
     st.none() | st.integers(0, 10**6),
     st.integers(0, 60_000),
@@ -43,35 +52,37 @@
     st.sampled_from(["answered", "status_503", "timed_out", "cut_off", "dropped"]),
     st.lists(st.tuples(WORDS, st.sampled_from(["leaving", "left"])), max_size=4).map(tuple),
 )
-ENTRIES = st.builds(
-    Entry,
+REQUESTS = st.builds(
+    RequestEntry,
     WORDS,
     WORDS,
     st.integers(0, 10**13),
     st.integers(0, 10**6),
-    st.sampled_from(End),
-    st.lists(TRIES, max_size=4).map(tuple),
+    st.sampled_from(RequestEnd),
+    st.lists(ATTEMPTS, max_size=4).map(tuple),
 )
 
 
-@given(ENTRIES)
-def test_a_line_is_read_as_it_was_written_whatever_the_log_puts_before_it(entry: Entry) -> None:
-    assert read(f"12.345 INFO passpost.trace.engine: {write(entry)}\n") == entry
+@given(REQUESTS)
+def test_a_request_is_parsed_as_it_was_written_after_a_log_prefix(entry: RequestEntry) -> None:
+    assert parse_request(f"12.345 INFO passpost.trace.engine: {format_request(entry)}\n") == entry
 
 
-@given(ENTRIES, st.integers(1, 200))
-def test_a_line_that_was_cut_short_is_no_other_request(entry: Entry, cut: int) -> None:
-    line = write(entry)
-    got = read(line[: max(len(line) - cut, 0)])
-    assert got is None or (got.txn, got.end, got.at_ms) == (entry.txn, entry.end, entry.at_ms)
+@given(REQUESTS, st.integers(1, 200))
+def test_a_truncated_line_is_never_parsed_as_another_request(entry: RequestEntry, cut: int) -> None:
+    line = format_request(entry)
+    parsed = parse_request(line[: max(len(line) - cut, 0)])
+    assert parsed is None or (parsed.txn, parsed.end, parsed.at_ms) == (entry.txn, entry.end, entry.at_ms)
 
 
-@given(CALLS, st.integers(0, 200))
-def test_a_call_is_read_as_it_was_written_and_never_as_a_request(call: Call, cut: int) -> None:
-    line = f"12.345 INFO passpost.trace.discovery: {write_call(call)}"
-    assert read_call(line + "\n") == call and read(line) is None
-    got = read_call(line[: len(line) - cut])
-    assert got is None or (got.place, got.after, got.at_ms, got.end) == (
+@given(LIST_CALLS, st.integers(0, 200))
+def test_a_list_call_is_parsed_as_it_was_written_and_never_as_a_request(
+    call: ListCallEntry, cut: int
+) -> None:
+    line = f"12.345 INFO passpost.trace.discovery: {format_list_call(call)}"
+    assert parse_list_call(line + "\n") == call and parse_request(line) is None
+    parsed = parse_list_call(line[: len(line) - cut])
+    assert parsed is None or (parsed.place, parsed.after, parsed.at_ms, parsed.end) == (
         call.place,
         call.after,
         call.at_ms,
@@ -82,25 +93,34 @@
 @pytest.mark.parametrize(
     "line", ["", "trace ", "trace txn=a class=b", "trace txn=a class=b at_ms=1 took_ms=2 end=lost tries=-"]
 )
-def test_other_lines_are_passed_over(line: str) -> None:
-    assert read(line) is None
-
-
-def entry(txn: str, at: int, end: End, *tries: Try) -> Entry:
-    return Entry(txn, "read", at, 10, end, tries)
-
-
-DAY = [
-    Step("n1", entry("a", 5_100, End.SERVED, Try("s0", 0, 9, "served"))),
-    Step("n1", entry("b", 6_200, End.REFUSED, Try("s1", 0, 1, "unreached"), Try("s1", 1, 1, "turned_away"))),
-    Step("n2", entry("c", 6_300, End.REFUSED)),
-    Step("n2", entry("c", 6_100, End.REFUSED)),
-    Step("n3", entry("d", 6_400, End.REFUSED)),
+def test_lines_without_a_complete_entry_are_skipped(line: str) -> None:
+    assert parse_request(line) is None
+
+
+def request_entry(txn: str, at: int, end: RequestEnd, *tries: AttemptEntry) -> RequestEntry:
+    return RequestEntry(txn, "read", at, 10, end, tries)
+
+
+RECORDS = [
+    Step("n1", request_entry("a", 5_100, RequestEnd.SERVED, AttemptEntry("s0", 0, 9, "served"))),
+    Step(
+        "n1",
+        request_entry(
+            "b",
+            6_200,
+            RequestEnd.REFUSED,
+            AttemptEntry("s1", 0, 1, "unreached"),
+            AttemptEntry("s1", 1, 1, "turned_away"),
+        ),
+    ),
+    Step("n2", request_entry("c", 6_300, RequestEnd.REFUSED)),
+    Step("n2", request_entry("c", 6_100, RequestEnd.REFUSED)),
+    Step("n3", request_entry("d", 6_400, RequestEnd.REFUSED)),
 ]
 
 
-def test_a_day_is_added_up_by_second_reason_and_upstream() -> None:
-    tables = add_up(DAY)
+def test_requests_are_counted_by_second_and_reason_and_attempts_by_upstream() -> None:
+    tables = add_up(RECORDS)
     assert tables.seconds == (
         ("0", {"requests": 1, "served": 1, "attempts": 1}),
         ("1", {"requests": 4, "refused": 4, "attempts": 2}),
@@ -110,22 +130,24 @@
         ("refused:turned_away", {"requests": 1, "balancers": 1, "most_at_one": 1}),
     )
     assert tables.upstreams[0] == ("s1", {"attempts": 2, "unreached": 1, "turned_away": 1})
-    assert [s.entry.at_ms for s in follow(DAY, "c")] == [6_100, 6_300]
+    assert [s.entry.at_ms for s in follow(RECORDS, "c")] == [6_100, 6_300]
 
 
-def write_day(folder: Path) -> None:
-    for step in DAY:
+def write_logs(folder: Path) -> None:
+    for step in RECORDS:
         with (folder / f"{step.balancer}.log").open("a") as file:
-            file.write(f"1.0 INFO x: another line\n1.0 INFO x: {write(step.entry)}\n")
+            file.write(f"1.0 INFO x: another line\n1.0 INFO x: {format_request(step.entry)}\n")
 
 
-def test_the_command_adds_up_and_follows(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    write_day(tmp_path)
+def test_the_logs_command_prints_the_tables_or_follows_one_request(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    write_logs(tmp_path)
     assert command.run(["logs", str(tmp_path)]) == 0
     assert "refused:not_sent" in capsys.readouterr().out
     assert command.run(["logs", str(tmp_path), "--json"]) == 0
-    said = json.loads(capsys.readouterr().out)
-    assert said["reasons"][0] == {
+    tables = json.loads(capsys.readouterr().out)
+    assert tables["reasons"][0] == {
         "name": "refused:not_sent",
         "requests": 3,
         "balancers": 2,
@@ -137,28 +159,45 @@
     assert capsys.readouterr().out == "no balancer has written of zz\n"
 
 
-LEAVING: list[Step | Asked] = [
-    Asked("n1", Call("d:1", 4, 10_000, 5_000, 1_000, "answered", (("s0", "leaving"),))),
-    Asked("n2", Call("d:1", 4, 10_000, 5_000, 1_500, "cut_off")),
-    Asked("n2", Call("d:2", None, 0, 7_000, 2_000, "timed_out")),
-    Step("n2", entry("a", 7_500, End.SERVED, Try("s1", 0, 9, "error", 1), Try("s0", 10, 9, "served", 2))),
-    Step("n2", entry("b", 5_100, End.FAILED, Try("s0", 0, 200, "unreached"))),
+LEAVING_SERVER_RECORDS: list[Step | Asked] = [
+    Asked("n1", ListCallEntry("d:1", 4, 10_000, 5_000, 1_000, "answered", (("s0", "leaving"),))),
+    Asked("n2", ListCallEntry("d:1", 4, 10_000, 5_000, 1_500, "cut_off")),
+    Asked("n2", ListCallEntry("d:2", None, 0, 7_000, 2_000, "timed_out")),
+    Step(
+        "n2",
+        request_entry(
+            "a",
+            7_500,
+            RequestEnd.SERVED,
+            AttemptEntry("s1", 0, 9, "error", 1),
+            AttemptEntry("s0", 10, 9, "served", 2),
+        ),
+    ),
+    Step("n2", request_entry("b", 5_100, RequestEnd.FAILED, AttemptEntry("s0", 0, 200, "unreached"))),
 ]
 
 
-def test_a_server_that_leaves_is_followed_through_all_balancers(
+def test_the_notices_of_a_leaving_server_and_the_attempts_at_it_are_listed_in_order(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    all_of_it = around(LEAVING, "s0")
-    assert [(m.at_ms, m.balancer, m.late_ms) for m in all_of_it] == [
+    moments = around(LEAVING_SERVER_RECORDS, "s0")
+    assert [(m.at_ms, m.balancer, m.late_ms) for m in moments] == [
         (5_100, "n2", 0),
         (6_000, "n1", 0),
         (7_510, "n2", 1_510),
     ]
-    assert [m.at_ms for m in around(LEAVING, "s0", "n2")] == [5_100, 6_000, 6_500, 7_510, 9_000]
-    for one in LEAVING:
-        with (tmp_path / f"{one.balancer}.log").open("a") as file:
-            file.write((write(one.entry) if isinstance(one, Step) else write_call(one.call)) + "\n")
+    assert [m.at_ms for m in around(LEAVING_SERVER_RECORDS, "s0", "n2")] == [
+        5_100,
+        6_000,
+        6_500,
+        7_510,
+        9_000,
+    ]
+    for step in LEAVING_SERVER_RECORDS:
+        with (tmp_path / f"{step.balancer}.log").open("a") as file:
+            file.write(
+                (format_request(step.entry) if isinstance(step, Step) else format_list_call(step.call)) + "\n"
+            )
     assert command.run(["logs", str(tmp_path), "--server", "s0", "--balancer", "n2"]) == 0
     out = capsys.readouterr().out.splitlines()
     assert out[1] == "6000 ms n1: d:1 after 4, wait 10000 ms: answered after 1000 ms; s0 is leaving"
@@ -173,51 +212,52 @@
     assert command.run(["logs", str(tmp_path)]) == 0
 
 
-def test_calls_for_the_list_leave_a_line_each(caplog: pytest.LogCaptureFixture) -> None:
+def test_each_call_to_discovery_logs_one_line(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        place = FakeServer(answer_json(listing(7, member("s0", "127.0.0.1:1", "leaving"))))
-        await place.start()
-        discovery = TracedDiscovery(parse_address(place.host_port), None)
+        registry = FakeServer(answer_json(listing(7, member("s0", "127.0.0.1:1", "leaving"))))
+        await registry.start()
+        discovery = TracedDiscovery(parse_address(registry.host_port), None)
         discovery.start(lambda update, addresses: None)
         discovery.subscribe()
 
-        def calls() -> list[Call]:
-            return [c for r in caplog.records if (c := read_call(r.getMessage())) is not None]
+        def calls() -> list[ListCallEntry]:
+            return [c for r in caplog.records if (c := parse_list_call(r.getMessage())) is not None]
 
         await until(lambda: bool(calls()))
-        place.reply = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+        registry.reply = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
         await until(lambda: calls()[-1].end == "status_503")
         assert (calls()[0].after, calls()[0].end, calls()[0].away) == (None, "answered", (("s0", "leaving"),))
-        assert calls()[-1].after == 7 and calls()[0].place == place.host_port
-        place.reply = silent
+        assert calls()[-1].after == 7 and calls()[0].place == registry.host_port
+        registry.reply = silent
         discovery.subscribe()
-        asked = len(place.got)
-        await until(lambda: len(place.got) > asked)
+        calls_before = len(registry.got)
+        await until(lambda: len(registry.got) > calls_before)
         discovery.stop()
         await until(lambda: calls()[-1].end == "dropped")
-        place.stop()
+        registry.stop()
 
     with caplog.at_level(logging.INFO, "passpost.trace.discovery"):
         run(test())
 
 
-def test_nothing_to_add_up_is_told_in_one_sentence(
+def test_a_folder_without_trace_lines_is_an_error_in_one_sentence(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert command.run(["logs", str(tmp_path / "nowhere")]) == 2
     assert capsys.readouterr().err == f"passpost: {tmp_path / 'nowhere'}: no such folder\n"
     (tmp_path / "n0.log").write_bytes(b"\xff\xfe noise\n0.0 INFO passpost: n0 serves\n")
     assert command.run(["logs", str(tmp_path)]) == 2
-    assert capsys.readouterr().err == f"passpost: {tmp_path}: no *.log in it has lines of PASSPOST_TRACE=1\n"
+    assert (
+        capsys.readouterr().err
+        == f"passpost: {tmp_path}: no *.log file in it has trace lines (written with PASSPOST_TRACE=1)\n"
+    )
     (tmp_path / "n1.log").mkdir()
     assert command.run(["logs", str(tmp_path)]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
 @pytest.mark.parametrize("engine", [TracedEngine, TracedCountingEngine])
-def test_each_request_leaves_one_line_of_what_became_of_it(
-    engine: type[Engine], caplog: pytest.LogCaptureFixture
-) -> None:
+def test_each_request_logs_one_line(engine: type[Engine], caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         good, hangs = FakeServer(), FakeServer(silent)
         await good.start()
@@ -226,24 +266,24 @@
         def node(server: FakeServer) -> Balancer:
             return Balancer(Node(config.read(config_data([member("s0", server.host_port)])), engine=engine))
 
-        def traced() -> list[Entry]:
-            return [e for r in caplog.records if (e := read(r.getMessage())) is not None]
+        def traced() -> list[RequestEntry]:
+            return [e for r in caplog.records if (e := parse_request(r.getMessage())) is not None]
 
-        one, two = node(good), node(hangs)
-        client = await one.connect()
+        answering, hanging = node(good), node(hangs)
+        client = await answering.connect()
         answer = await client.ask()
         assert answer is not None and answer.status == 200
         await until(lambda: len(traced()) == 1)
-        leaver = await two.connect()
+        leaver = await hanging.connect()
         leaver.send()
         await until(lambda: bool(hangs.got))
         leaver.writer.close()
         await until(lambda: len(traced()) == 2)
         served, left = traced()
-        assert (served.end, [t.outcome for t in served.tries]) == (End.SERVED, ["served"])
+        assert (served.end, [t.outcome for t in served.tries]) == (RequestEnd.SERVED, ["served"])
         assert served.class_name == "read" and served.tries[0].server == "s0" and served.txn != "-"
-        assert (left.end, [t.outcome for t in left.tries]) == (End.LEFT, ["cancelled"])
-        for each in (one, two):
+        assert (left.end, [t.outcome for t in left.tries]) == (RequestEnd.LEFT, ["cancelled"])
+        for each in (answering, hanging):
             assert not each.node.engine._traces  # type: ignore[attr-defined]
             each.node.server.close()
             each.node.close()
@@ -255,6 +295,6 @@
         run(test())
 
 
-def test_the_plain_path_imports_nothing_of_it() -> None:
+def test_the_tracing_modules_are_not_imported_by_default() -> None:
     code = "import sys, passpost.__main__; sys.exit(any(n.startswith('passpost.trace') for n in sys.modules))"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
