--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -1,4 +1,7 @@
-"""What one version has learned, as a line of JSON for the next. No I/O."""
+"""Encodes what one version has learned about the servers as a line of JSON for the next version. No I/O.
+
+The names and the order of the values are read by other versions and must not change.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 def write(learned: Inherited) -> bytes:
-    """One line, without its end. A ceiling that does not bind is null, as JSON has no infinity."""
+    """One line of JSON, without a line end. An infinite ceiling is written as null, as JSON has no infinity."""
     servers = []
     for known in learned.servers:
         values = astuple(known)
@@ -19,14 +22,14 @@
 
 
 def read(line: bytes) -> Inherited:
-    """The same again; raises ValueError if it is none."""
+    """The inverse of `write`; raises ValueError if the line is malformed or a value is out of range."""
     try:
         data = json.loads(line)
         servers = []
         for name, since, served, busy, usual, carries, ceiling in data["servers"]:
-            most = math.inf if ceiling is None else float(ceiling)
+            parsed_ceiling = math.inf if ceiling is None else float(ceiling)
             numbers = float(since), float(served), float(busy), float(usual), float(carries)
-            servers.append(Known(str(name), *numbers, most))
+            servers.append(Known(str(name), *numbers, parsed_ceiling))
         return Inherited(float(data["base"]), tuple(servers))
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
