--- a/passpost/ops/handover.py
+++ b/passpost/ops/handover.py
@@ -109,9 +109,8 @@
             self._connection.close()
 
 
-HandedOver = tuple[
-    socket.socket, socket.socket
-]  # the listening socket, and the connection to its former owner
+# The listening socket, and the connection to the process that sent it.
+HandedOver = tuple[socket.socket, socket.socket]
 
 
 def request_handover(path: Path) -> HandedOver | None:
