--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -34,14 +34,14 @@
     request, actions = desk.ask(ORDER, body_open=True)
     (send,) = sent(actions)
     assert send.timeout_ms == math.inf
-    assert (in_flight(desk), desk.balancer._room.out) == (0, 0)  # its server has nothing to do yet
+    assert (in_flight(desk), desk.balancer._room.in_flight) == (0, 0)  # its server has nothing to do yet
     desk.now += 60_000
     (limit,) = of_kind(desk.tell(BodyEnded(request, 2_500)), Limit)
     assert limit == Limit(request, 0, 1_000)  # the class is worth nothing past its aim
-    assert (in_flight(desk), desk.balancer._room.out) == (1, 1)
+    assert (in_flight(desk), desk.balancer._room.in_flight) == (1, 1)
     desk.now += 50
     assert not of_kind(desk.end(request, 0, send.server, Outcome.SERVED), Refuse, Fail)
-    assert (in_flight(desk), desk.balancer._room.out, desk.balancer._requests) == (0, 0, {})
+    assert (in_flight(desk), desk.balancer._room.in_flight, desk.balancer._requests) == (0, 0, {})
 
 
 def test_one_that_breaks_before_it_is_whole_leaves_nothing_behind_at_its_server() -> None:
@@ -49,7 +49,7 @@
     request, actions = desk.ask(ORDER, body_open=True)
     ended = desk.end(request, 0, sent(actions)[0].server, Outcome.UNREACHED)
     assert of_kind(ended, Refuse) == [Refuse(request, 0.0)]
-    assert (in_flight(desk), desk.balancer._room.out) == (0, 0)
+    assert (in_flight(desk), desk.balancer._room.in_flight) == (0, 0)
 
 
 @pytest.mark.parametrize("cls", [READ, ORDER, PAY])
@@ -108,7 +108,7 @@
     ended = desk.end(request, 1, copies[0].server, Outcome.SERVED)
     assert not of_kind(ended, Send, Refuse, Fail)
     assert desk.balancer._servers[copies[0].server].served <= served  # not booked twice
-    assert (in_flight(desk), desk.balancer._room.out, desk.balancer._requests) == (0, 0, {})
+    assert (in_flight(desk), desk.balancer._room.in_flight, desk.balancer._requests) == (0, 0, {})
 
 
 def test_one_that_breaks_after_it_has_begun_is_over() -> None:
@@ -175,4 +175,4 @@
     desk.tell(TimerDue(f"wait:{request}"))
     assert ends <= 1
     assert not desk.balancer._requests
-    assert (in_flight(desk), desk.balancer._room.out) == (0, 0)
+    assert (in_flight(desk), desk.balancer._room.in_flight) == (0, 0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -312,7 +312,7 @@
     for _ in range(2_000):
         desk.now += 60_000
         desk.show(*members(2))
-    assert desk.balancer._room.base <= 1.0
+    assert desk.balancer._room.base_service_time <= 1.0
 
 
 def test_inner_tiers_hardly_hold_back_what_others_have_worked_on() -> None:
--- a/umberworks/asking.py
+++ b/umberworks/asking.py
@@ -9,8 +9,8 @@
 
 import random
 
+from umberworks.admission import MANY_BALANCERS
 from umberworks.interface import Settings
-from umberworks.room import MANY
 
 RETRY_MS = 500.0  # first pause before the list is asked again, doubled at each failure
 TURN_MS = 50.0  # that discovery may take for a call
@@ -24,7 +24,7 @@
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
         self._within, self._chance = settings.ask_within_ms, chance
-        spread = TURN_MS * settings.balancers * (settings.balancers > MANY)
+        spread = TURN_MS * settings.balancers * (settings.balancers > MANY_BALANCERS)
         self._span = min(spread, self._within / 2)  # and half as long again at the most
         self.failures = 0  # since the list last came
 
--- a/umberworks/books.py
+++ b/umberworks/books.py
@@ -5,17 +5,17 @@
 from heapq import heappop, heappush
 
 from umberworks import interface as face
+from umberworks.admission import AdmissionControl
 from umberworks.crowd import Crowd
 from umberworks.interface import Outcome
 from umberworks.requests import Attempt
-from umberworks.room import Room
 from umberworks.servers import Fleet, Server
 
 
 class Books:
     """Counts a call from when its server has it until it ends; a failure's slot stays to its time-out."""
 
-    def __init__(self, room: Room, fleet: Fleet, crowd: Crowd) -> None:
+    def __init__(self, room: AdmissionControl, fleet: Fleet, crowd: Crowd) -> None:
         self._room, self._fleet, self._crowd = room, fleet, crowd
         self._held: list[tuple[float, int, Server]] = []
         self._held_count = 0
@@ -26,7 +26,7 @@
         server.catch_up(now)
         server.in_flight += 1
         server.live += 1
-        self._room.out += 1
+        self._room.in_flight += 1
 
     def ended(
         self, attempt: Attempt, outcome: Outcome, cls: face.RequestClass, usual: float, now: float
@@ -37,12 +37,12 @@
         server, attempt.counted = attempt.server, False
         server.catch_up(now)
         server.live -= 1
-        self._room.out -= 1
+        self._room.in_flight -= 1
         if outcome is Outcome.SERVED:
             server.served += 1
             server.heard = now
             self._fleet.served(server, usual, now)
-            self._room.served(cls.aim_ms, now)
+            self._room.record_served(cls.aim_ms, now)
             self._crowd.served(server, cls.aim_ms, now)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.ends > now:
             self._held_count += 1
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 
 from umberworks import interface as face
-from umberworks.room import Room
+from umberworks.admission import AdmissionControl
 from umberworks.servers import Server
 
 MOST = 4_096  # servers told of, those with the most evidence: more would hold up requests for over 10 ms
 
 
-def told(room: Room, servers: Iterable[Server], now: float) -> face.Inherited:
+def told(room: AdmissionControl, servers: Iterable[Server], now: float) -> face.Inherited:
     """What is known now."""
     known = []
     for server in servers:
@@ -20,7 +20,7 @@
             known.append(server)
     known.sort(key=lambda s: -s.served)
     return face.Inherited(
-        room.base,
+        room.base_service_time,
         tuple(
             face.Known(
                 s.member.server,
@@ -42,10 +42,10 @@
     def __init__(self) -> None:
         self._known: dict[str, face.Known] = {}
 
-    def take(self, event: face.Inherited, room: Room) -> None:
+    def take(self, event: face.Inherited, room: AdmissionControl) -> None:
         """Believe it where nothing better is known."""
-        if not room.base and event.base:
-            room.base = room.mean = event.base
+        if not room.base_service_time and event.base:
+            room.base_service_time = room.mean_service_time = event.base
         self._known = {k.server: k for k in event.servers}
 
     def give(self, server: Server) -> None:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -12,6 +12,7 @@
 from heapq import heapify, heappop, heappush
 
 from umberworks import interface as face
+from umberworks.admission import RATE_DECAY_MS, AdmissionControl
 from umberworks.asking import Asking
 from umberworks.books import Books
 from umberworks.crowd import Crowd
@@ -20,7 +21,6 @@
 from umberworks.kinds import Kinds
 from umberworks.requests import Attempt, Request, Tries
 from umberworks.rest import Rest
-from umberworks.room import RATE_MEMORY_MS, Room
 from umberworks.servers import MEMORY_MS, Fleet, Pick, Server
 from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
@@ -55,7 +55,7 @@
         self._requests: dict[int, Request] = {}
         self._waiting: list[tuple[bool, float, int]] = []
         self._retries, self._now = RETRY_BURST, 0.0
-        self._room = Room(settings.balancers)
+        self._room = AdmissionControl(settings.balancers)
         self._crowd = Crowd(settings.balancers, settings.calling_tier)
         self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
         self._books = Books(self._room, self._fleet, self._crowd)
@@ -233,7 +233,7 @@
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
-            self._actions.append(face.Log(f"no room: refusing; {self._room.out} calls out"))
+            self._actions.append(face.Log(f"no room: refusing; {self._room.in_flight} calls out"))
         self._refusing_until = now + MEMORY_MS
         self._give_up(request)
 
@@ -255,12 +255,12 @@
         """Whether to refuse by the mean time in service; calls still out are in it: a stall shows at once."""
         if self._counted or self._settings.calling_tier > 0:
             return False
-        return self._random.random() >= self._room.chance(request.cls.aim_ms, request.over_share)
+        return self._random.random() >= self._room.admit_probability(request.cls.aim_ms, request.over_share)
 
     def _has_room(self) -> bool:
         if not self._counted or self._settings.calling_tier > 0:
             return True  # inner tiers let all in: a refusal there wastes what the tiers above have done
-        return self._room.out < self._room.size(len(self._fleet.ready))
+        return self._room.in_flight < self._room.limit(len(self._fleet.ready))
 
     def _try_send(self, request: Request, now: float) -> bool:
         timeout = request.timeout(now)
@@ -276,8 +276,8 @@
         if not request.is_coming:  # else its server has nothing to do yet
             self._books.out(attempt, now)
         self._actions.append(face.Send(request.id, server.member.server, timeout))
-        if self._room.mean and self._settings.may_duplicate and request.may_repeat():
-            patience = PATIENCE * self._room.mean * request.cls.aim_ms
+        if self._room.mean_service_time and self._settings.may_duplicate and request.may_repeat():
+            patience = PATIENCE * self._room.mean_service_time * request.cls.aim_ms
             self._actions.append(face.SetTimer(now + patience, f"copy:{request.id}"))
         return True
 
@@ -429,7 +429,7 @@
 
     def _known_median(self, now: float) -> float:
         """The median of the known estimates; measures of the whole fleet are taken now and then only."""
-        if now - self._median_at >= RATE_MEMORY_MS / 4:
+        if now - self._median_at >= RATE_DECAY_MS / 4:
             self._median_at = now
             self._choose()
             some = self._fleet.ready[:WALK]
