--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -151,7 +151,7 @@
         "umberworks.admission",
         "umberworks.asking",
         "umberworks.books",
-        "umberworks.crowd",
+        "umberworks.concurrency",
         "umberworks.inherit",
         "umberworks.interface",
         "umberworks.kinds",
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tests.helpers import warm
-from umberworks.crowd import GROW, LEAST, Crowd
+from umberworks.concurrency import GROWTH_FACTOR, MIN_CALLS_PER_SERVER, ConcurrencyLimits
 from umberworks.interface import Member
 from umberworks.rest import EASED, OFF_MS, REST_MS, SLOW_FOR_MS, SURE_MS, Rest
 from umberworks.servers import MEMORY_MS, Server
@@ -24,57 +24,62 @@
     return made
 
 
-def fill(crowd: Crowd, one: Server, now: float, most: int = 1000) -> int:
+def fill(crowd: ConcurrencyLimits, one: Server, now: float, most: int = 1000) -> int:
     """Send as long as there is room."""
     sent = 0
-    while sent < most and crowd.has_room(one, now):
+    while sent < most and crowd.admits(one, now):
         one.live += 1
         sent += 1
     return sent
 
 
-def work(crowd: Crowd, one: Server, calls: int, held: int, aims: float, now: float) -> float:
+def work(crowd: ConcurrencyLimits, one: Server, calls: int, held: int, aims: float, now: float) -> float:
     """A server that holds `held` calls answers so many, each after `aims` of its aim of 1 s; the time then."""
     one.catch_up(now)
     one.live = held
     for _ in range(calls):
         now += aims * 1000 / held
         one.catch_up(now)
-        crowd.served(one, 1000, now)
+        crowd.record_served(one, 1000, now)
     return now
 
 
 def test_a_server_that_keeps_its_speed_may_hold_more_and_more() -> None:
-    crowd, one, now, seen = Crowd(2), server("a"), START, 0.0
+    crowd, one, now, seen = ConcurrencyLimits(2), server("a"), START, 0.0
     for _ in range(8):
-        held = math.ceil(crowd.most(one))
+        held = math.ceil(crowd.limit(one))
         now = work(crowd, one, 60, held, 0.1 if held <= 32 else 0.1 * held / 32, now)
-        assert crowd.most(one) >= seen
-        seen = crowd.most(one)
-    assert 20 < seen <= 32 * GROW * 1.3  # the cores of a large machine are found, and not passed by far
+        assert crowd.limit(one) >= seen
+        seen = crowd.limit(one)
+    assert (
+        20 < seen <= 32 * GROWTH_FACTOR * 1.3
+    )  # the cores of a large machine are found, and not passed by far
 
 
 def test_a_server_that_bends_is_held_to_what_it_carried() -> None:
-    crowd, one, now = Crowd(2), server("a"), START
+    crowd, one, now = ConcurrencyLimits(2), server("a"), START
     for held in (1, 1, 4, 4, 4, 4, 4, 4):
         now = work(crowd, one, 40, held, 0.1 * max(held / 3, 1.0), now)
-    assert crowd.most(one) == LEAST / 2  # as four calls take a third longer
+    assert crowd.limit(one) == MIN_CALLS_PER_SERVER / 2  # as four calls take a third longer
 
 
 def test_it_is_the_mean_that_is_bounded_so_that_two_balancers_never_choke_one_together() -> None:
-    crowd, one = Crowd(2), server("a")
-    one.live, one.crowd = 3, LEAST / 2 + 0.1  # a standing crowd, of which one call has just ended
-    assert not crowd.has_room(one, START)
-    one.crowd = LEAST / 2 - 0.1
-    assert crowd.has_room(one, START)
+    crowd, one = ConcurrencyLimits(2), server("a")
+    one.live, one.crowd = (
+        3,
+        MIN_CALLS_PER_SERVER / 2 + 0.1,
+    )  # a standing crowd, of which one call has just ended
+    assert not crowd.admits(one, START)
+    one.crowd = MIN_CALLS_PER_SERVER / 2 - 0.1
+    assert crowd.admits(one, START)
 
 
 def test_what_was_learned_is_lost_with_the_process() -> None:
-    crowd, one = Crowd(1), server("a")
+    crowd, one = ConcurrencyLimits(1), server("a")
     work(crowd, one, 600, 6, 0.1, START)
-    assert crowd.most(one) > LEAST
+    assert crowd.limit(one) > MIN_CALLS_PER_SERVER
     one.forget(START + 60_000)
-    assert crowd.most(one) == LEAST
+    assert crowd.limit(one) == MIN_CALLS_PER_SERVER
 
 
 @given(
@@ -83,10 +88,10 @@
 def test_a_full_server_gets_nothing_and_an_idle_one_always_something(
     balancers: int, carries: float, before: float, ceiling: float
 ) -> None:
-    crowd, one = Crowd(balancers), server("a")
+    crowd, one = ConcurrencyLimits(balancers), server("a")
     one.carries, one.crowd, one.ceiling = carries, before, ceiling
     sent = fill(crowd, one, START)
-    most = crowd.most(one)
+    most = crowd.limit(one)
     assert most <= ceiling
     assert 1 <= sent <= max(math.ceil(most), 1)
     for step in range(1, 200):  # calls that end are replaced while there is room
@@ -244,7 +249,7 @@
     for one in fleet.views[0]:
         one.carries = 10.0
     fleet.run(20)
-    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROW)] * 4
+    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROWTH_FACTOR)] * 4
 
 
 def test_a_fleet_of_one_never_rests() -> None:
--- a/umberworks/books.py
+++ b/umberworks/books.py
@@ -6,7 +6,7 @@
 
 from umberworks import interface as face
 from umberworks.admission import AdmissionControl
-from umberworks.crowd import Crowd
+from umberworks.concurrency import ConcurrencyLimits
 from umberworks.interface import Outcome
 from umberworks.requests import Attempt
 from umberworks.servers import Fleet, Server
@@ -15,7 +15,7 @@
 class Books:
     """Counts a call from when its server has it until it ends; a failure's slot stays to its time-out."""
 
-    def __init__(self, room: AdmissionControl, fleet: Fleet, crowd: Crowd) -> None:
+    def __init__(self, room: AdmissionControl, fleet: Fleet, crowd: ConcurrencyLimits) -> None:
         self._room, self._fleet, self._crowd = room, fleet, crowd
         self._held: list[tuple[float, int, Server]] = []
         self._held_count = 0
@@ -43,7 +43,7 @@
             server.heard = now
             self._fleet.served(server, usual, now)
             self._room.record_served(cls.aim_ms, now)
-            self._crowd.served(server, cls.aim_ms, now)
+            self._crowd.record_served(server, cls.aim_ms, now)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.ends > now:
             self._held_count += 1
             heappush(self._held, (attempt.ends, self._held_count, server))
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -15,7 +15,7 @@
 import math
 from collections.abc import Iterable
 
-from umberworks.crowd import GROW
+from umberworks.concurrency import GROWTH_FACTOR
 from umberworks.servers import MEMORY_MS, Server
 
 SLOW, MOST = 1.6, 0.5  # usual times in service from which a server is slow; the share that has to be slow
@@ -78,7 +78,7 @@
         self._before = time(self._group)
         for server in self._group:  # it choked with what it could hold, unless it was far from that
             server.rests_until = self._until
-            server.ceiling = EASED * min(max(server.carries / GROW, least), server.ceiling)
+            server.ceiling = EASED * min(max(server.carries / GROWTH_FACTOR, least), server.ceiling)
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -15,7 +15,7 @@
 from umberworks.admission import RATE_DECAY_MS, AdmissionControl
 from umberworks.asking import Asking
 from umberworks.books import Books
-from umberworks.crowd import Crowd
+from umberworks.concurrency import ConcurrencyLimits
 from umberworks.inherit import Heritage, told
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.kinds import Kinds
@@ -56,7 +56,7 @@
         self._waiting: list[tuple[bool, float, int]] = []
         self._retries, self._now = RETRY_BURST, 0.0
         self._room = AdmissionControl(settings.balancers)
-        self._crowd = Crowd(settings.balancers, settings.calling_tier)
+        self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
         self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
         self._books = Books(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
@@ -381,7 +381,7 @@
         count, harmless = self._able(request, now)
         cold, tried = now < self._slow_start.until, [a.server for a in request.attempts]
         pick = Pick(self._random, now, median, cold, self._sliver)
-        crowded = self._counted and self._crowd.tells and harmless is None  # a repeat has few places to go
+        crowded = self._counted and self._crowd.enabled and harmless is None  # a repeat has few places to go
 
         test: Callable[[Server], bool] | None = None
         if cold or crowded or harmless is not None:
@@ -390,7 +390,7 @@
                 return (
                     (harmless is None or harmless(server))
                     and (not cold or self._slow_start.has_room(server, now))
-                    and (not crowded or (self._crowd.has_room(server, now) and server.rests_until <= now))
+                    and (not crowded or (self._crowd.admits(server, now) and server.rests_until <= now))
                 )
 
         fresh = test
@@ -433,8 +433,8 @@
             self._median_at = now
             self._choose()
             some = self._fleet.ready[:WALK]
-            if self._counted and self._crowd.tells:
-                said = self._rest.look(some, now < self._refusing_until, self._crowd.least, now)
+            if self._counted and self._crowd.enabled:
+                said = self._rest.look(some, now < self._refusing_until, self._crowd.min_limit, now)
                 self._actions += [face.Log(said)] if said else []
             if self._kinds.learn(some, now):
                 self._draw_anew(self._kinds.give)
