--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,7 +11,14 @@
 from tests.helpers import warm
 from umberworks.concurrency import GROWTH_FACTOR, MIN_CALLS_PER_SERVER, ConcurrencyLimits
 from umberworks.interface import Member
-from umberworks.rest import EASED, OFF_MS, REST_MS, SLOW_FOR_MS, SURE_MS, Rest
+from umberworks.recovery import (
+    CEILING_FACTOR,
+    CONFIRMED_MS,
+    DISABLED_MS,
+    MIN_SLOW_MS,
+    PAUSE_MS,
+    RecoveryPauses,
+)
 from umberworks.servers import MEMORY_MS, Server
 
 START = 1_796_131_357_300.0  # Unix time in ms, as the module's clock is
@@ -110,7 +117,7 @@
         self.views = [[server(name) for name in self.names] for _ in range(balancers)]
         for view in self.views[1::2]:
             view.reverse()  # each keeps its servers in an order of its own
-        self.rests = [Rest() for _ in range(balancers)]
+        self.rests = [RecoveryPauses() for _ in range(balancers)]
         self.times = dict.fromkeys(self.names, 1.0)
         self.idle = dict.fromkeys(self.names, 0.0)  # since when nobody sends, summed for chokes
         self.choked: set[str] = set()
@@ -126,7 +133,7 @@
             one.recent = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
             one.crowd = 0.1 * factor * one.recent / (MEMORY_MS / 3)
-        said = self.rests[number].look(self.views[number], short, least, self.now)
+        said = self.rests[number].update(self.views[number], short, least, self.now)
         if said:
             self.log.append(f"{(self.now - START) / 1000:.1f} {number} {said}")
         return said
@@ -163,13 +170,13 @@
         fleet.run(0.1, tuple(offsets))
         assert all(len(fleet.resting(i)) <= (count + 1) // 2 for i in range(len(offsets)))
     # From when it is seen: 3.5 s until it has lasted, two rests, and their judging.
-    assert not fleet.choked and fleet.now - START <= SLOW_FOR_MS + 2 * REST_MS + 2_500, fleet.log
+    assert not fleet.choked and fleet.now - START <= MIN_SLOW_MS + 2 * PAUSE_MS + 2_500, fleet.log
 
 
 def test_balancers_that_never_spoke_rest_the_same_servers_at_the_same_time() -> None:
     fleet = Fleet(5, 2)
     fleet.choked = set(fleet.names)
-    fleet.run(SLOW_FOR_MS / 1000 + 1.5, (0.0, 320.0))
+    fleet.run(MIN_SLOW_MS / 1000 + 1.5, (0.0, 320.0))
     assert fleet.resting(0) == fleet.resting(1) == {"s-0", "s-2", "s-4"}
 
 
@@ -183,7 +190,7 @@
 def test_servers_that_are_slow_and_not_choked_lose_one_rest_and_no_more() -> None:
     fleet = Fleet(4)
     fleet.times = dict.fromkeys(fleet.names, 3.0)  # behind another tier, say
-    fleet.run(OFF_MS / 1000)
+    fleet.run(DISABLED_MS / 1000)
     assert [line.partition(" 0 ")[2].partition(":")[0] for line in fleet.log] == [
         "most servers are slow",
         "a rest was of no use",
@@ -201,12 +208,12 @@
 def test_a_short_stall_brings_no_rest_and_one_that_ends_ends_the_rest() -> None:
     fleet = Fleet(4)
     fleet.times = dict.fromkeys(fleet.names, 4.0)
-    fleet.run(SLOW_FOR_MS / 1000 - 0.5)
+    fleet.run(MIN_SLOW_MS / 1000 - 0.5)
     fleet.times = dict.fromkeys(fleet.names, 1.0)
     fleet.run(2)
     assert fleet.log == []
     fleet.times = dict.fromkeys(fleet.names, 4.0)
-    fleet.run(SLOW_FOR_MS / 1000 + 1)
+    fleet.run(MIN_SLOW_MS / 1000 + 1)
     assert fleet.resting()
     fleet.times = dict.fromkeys(fleet.names, 1.0)
     fleet.run(1)
@@ -216,27 +223,27 @@
 def test_a_choke_that_begins_while_another_rests_gets_its_turn() -> None:
     fleet = Fleet(4)
     fleet.choked = {"s-0", "s-1", "s-2"}
-    fleet.run(SLOW_FOR_MS / 1000 + 2)
+    fleet.run(MIN_SLOW_MS / 1000 + 2)
     assert fleet.resting() == {"s-0", "s-2"}
     fleet.choked.add("s-3")
-    fleet.run(2 * REST_MS / 1000 + 3)
+    fleet.run(2 * PAUSE_MS / 1000 + 3)
     assert not fleet.choked
 
 
 def test_a_rest_that_was_too_short_is_followed_by_a_longer_one() -> None:
     fleet = Fleet(4)
     fleet.choked = set(fleet.names)
-    fleet.run(SLOW_FOR_MS / 1000 + REST_MS / 1000 + 2)
+    fleet.run(MIN_SLOW_MS / 1000 + PAUSE_MS / 1000 + 2)
     assert fleet.resting() == {"s-1", "s-3"}
     fleet.needs = 6_500.0
-    fleet.run(SURE_MS / 1000)
+    fleet.run(CONFIRMED_MS / 1000)
     assert any("too short" in line for line in fleet.log) and not fleet.choked
 
 
 def test_servers_at_rest_are_called_back_when_the_others_leave() -> None:
     fleet = Fleet(4)
     fleet.choked = set(fleet.names)
-    fleet.run(SLOW_FOR_MS / 1000 + 1)
+    fleet.run(MIN_SLOW_MS / 1000 + 1)
     assert fleet.resting() == {"s-0", "s-2"}
     fleet.views[0] = [s for s in fleet.views[0] if s.member.server in ("s-0", "s-2")]
     fleet.run(1)
@@ -249,7 +256,7 @@
     for one in fleet.views[0]:
         one.carries = 10.0
     fleet.run(20)
-    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROWTH_FACTOR)] * 4
+    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(CEILING_FACTOR * 10.0 / GROWTH_FACTOR)] * 4
 
 
 def test_a_fleet_of_one_never_rests() -> None:
--- a/umberworks/rest.py
+++ b/umberworks/recovery.py
@@ -19,19 +19,19 @@
 from umberworks.servers import MEMORY_MS, Server
 
 SLOW, MOST = 1.6, 0.5  # usual times in service from which a server is slow; the share that has to be slow
-SLOW_FOR_MS = 3_500.0
+MIN_SLOW_MS = 3_500.0
 FAST = 1.3  # the others' time during a first rest, up to which nobody was choked: the cause is over
 WELL = 0.75  # of its time before the rest, up to which a group was choked
 # What a server holds must end first, and balancers begin up to a second apart; then most need 3 s.
-REST_MS, GRID_MS, LONGER, LONGEST_MS = 5_000.0, 1_000.0, 1.5, 12_000.0
+PAUSE_MS, GRID_MS, LONGER, LONGEST_MS = 5_000.0, 1_000.0, 1.5, 12_000.0
 LEAST_CALLS = 4.0  # in memory, to judge a server
 JUDGE_MS = 3_000.0  # after the rest; who has served too little by then tells nothing
-OFF_MS = 60_000.0  # no rest for so long after one that was of no use
-SURE_MS = 20_000.0  # after a rest that was of use the slow are taken for choked for so long
-EASED = 0.8  # of what it could hold that a server may hold after it was choked
+DISABLED_MS = 60_000.0  # no rest for so long after one that was of no use
+CONFIRMED_MS = 20_000.0  # after a rest that was of use the slow are taken for choked for so long
+CEILING_FACTOR = 0.8  # of what it could hold that a server may hold after it was choked
 
 
-class Rest:
+class RecoveryPauses:
     """Who rests, and who is next."""
 
     def __init__(self) -> None:
@@ -40,9 +40,9 @@
         self._group: list[Server] = []  # that rests, or is not judged yet
         self._until, self._off_until, self._whole_until = 0.0, 0.0, 0.0
         self._sure_until = -math.inf
-        self._before, self._span = 0.0, REST_MS
+        self._before, self._span = 0.0, PAUSE_MS
 
-    def look(self, ready: list[Server], short: bool, least: float, now: float) -> str:
+    def update(self, ready: list[Server], short: bool, least: float, now: float) -> str:
         """Begin a rest, or judge the last one; to be called twice a second. The result is for the log.
 
         `short`: whether calls are refused for want of room. `least`: what a server may hold in any case.
@@ -58,7 +58,7 @@
             others = [s for s in ready if s.rests_until <= now]
             over = now >= max(self._whole_until, self._sure_until) and are_most(others, False, FAST)
             if not others or over:
-                self._whole_until = now + SURE_MS  # should it begin again, it is for the whole time
+                self._whole_until = now + CONFIRMED_MS  # should it begin again, it is for the whole time
                 self._free(now)
                 return "the rest ends early: nobody is slow any more"
             return ""
@@ -66,7 +66,7 @@
             return self._judge(halves, least, now)
         if not short or now < self._off_until or len(ready) < 2:
             return ""
-        lasting = [now - since >= SLOW_FOR_MS for since in self._slow_since]
+        lasting = [now - since >= MIN_SLOW_MS for since in self._slow_since]
         if not lasting[0] and not (any(lasting) and now < self._sure_until):
             return ""
         even, odd = (sum(map(takes_long, half)) for half in halves)
@@ -78,7 +78,7 @@
         self._before = time(self._group)
         for server in self._group:  # it choked with what it could hold, unless it was far from that
             server.rests_until = self._until
-            server.ceiling = EASED * min(max(server.carries / GROWTH_FACTOR, least), server.ceiling)
+            server.ceiling = CEILING_FACTOR * min(max(server.carries / GROWTH_FACTOR, least), server.ceiling)
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
@@ -88,13 +88,13 @@
         group, self._group = self._group, []
         if time(group) > WELL * self._before:
             if now >= self._sure_until:
-                self._off_until = now + OFF_MS
+                self._off_until = now + DISABLED_MS
                 for server in group:
                     server.ceiling = math.inf
                 return "a rest was of no use: the servers are slow, not choked"
             self._span = min(LONGER * self._span, LONGEST_MS)
             return f"a rest was too short; the next takes {self._span / 1000:.1f} s"
-        self._sure_until = now + SURE_MS
+        self._sure_until = now + CONFIRMED_MS
         said = f"{len(group)} servers are back at their speed after a rest"
         if is_slow(halves[1 - self._half]):
             said += "; " + self._begin(halves, 1 - self._half, least, now)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -19,8 +19,8 @@
 from umberworks.inherit import Heritage, told
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.kinds import Kinds
+from umberworks.recovery import RecoveryPauses
 from umberworks.requests import Attempt, Request, Tries
-from umberworks.rest import Rest
 from umberworks.servers import MEMORY_MS, Fleet, Pick, Server
 from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
@@ -57,7 +57,7 @@
         self._retries, self._now = RETRY_BURST, 0.0
         self._room = AdmissionControl(settings.balancers)
         self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
-        self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
+        self._rest, self._heritage, self._kinds = RecoveryPauses(), Heritage(), Kinds(settings.sizes_exact)
         self._books = Books(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
@@ -434,7 +434,7 @@
             self._choose()
             some = self._fleet.ready[:WALK]
             if self._counted and self._crowd.enabled:
-                said = self._rest.look(some, now < self._refusing_until, self._crowd.min_limit, now)
+                said = self._rest.update(some, now < self._refusing_until, self._crowd.min_limit, now)
                 self._actions += [face.Log(said)] if said else []
             if self._kinds.learn(some, now):
                 self._draw_anew(self._kinds.give)
