--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -152,7 +152,7 @@
         "umberworks.asking",
         "umberworks.books",
         "umberworks.concurrency",
-        "umberworks.inherit",
+        "umberworks.handover",
         "umberworks.interface",
         "umberworks.kinds",
         "umberworks.recovery",
--- a/umberworks/inherit.py
+++ b/umberworks/handover.py
@@ -11,7 +11,7 @@
 MOST = 4_096  # servers told of, those with the most evidence: more would hold up requests for over 10 ms
 
 
-def told(room: AdmissionControl, servers: Iterable[Server], now: float) -> face.Inherited:
+def export_state(room: AdmissionControl, servers: Iterable[Server], now: float) -> face.Inherited:
     """What is known now."""
     known = []
     for server in servers:
@@ -36,19 +36,19 @@
     )
 
 
-class Heritage:
+class ImportedState:
     """What was handed to this version, until each server that it tells of is listed."""
 
     def __init__(self) -> None:
         self._known: dict[str, face.Known] = {}
 
-    def take(self, event: face.Inherited, room: AdmissionControl) -> None:
+    def load(self, event: face.Inherited, room: AdmissionControl) -> None:
         """Believe it where nothing better is known."""
         if not room.base_service_time and event.base:
             room.base_service_time = room.mean_service_time = event.base
         self._known = {k.server: k for k in event.servers}
 
-    def give(self, server: Server) -> None:
+    def apply(self, server: Server) -> None:
         """Tell a server what was known of its process, unless it has shown something itself."""
         known = self._known.pop(server.member.server, None) if self._known else None
         if known is None or known.since_ms != server.member.up_since_ms or server.served:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -16,7 +16,7 @@
 from umberworks.asking import Asking
 from umberworks.books import Books
 from umberworks.concurrency import ConcurrencyLimits
-from umberworks.inherit import Heritage, told
+from umberworks.handover import ImportedState, export_state
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.kinds import Kinds
 from umberworks.recovery import RecoveryPauses
@@ -57,7 +57,11 @@
         self._retries, self._now = RETRY_BURST, 0.0
         self._room = AdmissionControl(settings.balancers)
         self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
-        self._rest, self._heritage, self._kinds = RecoveryPauses(), Heritage(), Kinds(settings.sizes_exact)
+        self._rest, self._heritage, self._kinds = (
+            RecoveryPauses(),
+            ImportedState(),
+            Kinds(settings.sizes_exact),
+        )
         self._books = Books(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
@@ -159,7 +163,7 @@
 
     def learned(self, now: float) -> face.Inherited:
         """What a version that takes over from this one should know."""
-        return told(self._room, self._fleet.ready, now)
+        return export_state(self._room, self._fleet.ready, now)
 
     def _draw_anew(self, change: Callable[[Server], None]) -> None:
         """Change what the ready servers are drawn by."""
