--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -155,11 +155,11 @@
         "umberworks.handover",
         "umberworks.interface",
         "umberworks.kinds",
+        "umberworks.quotas",
         "umberworks.recovery",
         "umberworks.requests",
         "umberworks.rules",
         "umberworks.servers",
-        "umberworks.shares",
         "umberworks.slow_start",
         "umberworks.wire",
     ]
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -19,7 +19,7 @@
 ALL = "\0"  # no kind is named like this
 
 
-class Kinds:
+class KindSpeeds:
     """The sizes that servers are drawn by until they have shown their own speed."""
 
     def __init__(self, sizes_exact: bool) -> None:
@@ -28,31 +28,31 @@
         self._shown: dict[str, tuple[float, float]] = {}  # of each kind: calls, and the time that they took
         self._seen = 0.0
 
-    def base(self, member: face.Member) -> float:
+    def listed_size(self, member: face.Member) -> float:
         """What the list says of a server's size."""
         return member.size if self._exact else 1.0
 
-    def size(self, member: face.Member) -> float:
+    def estimated_size(self, member: face.Member) -> float:
         """That, by what its kind has shown."""
-        return self.base(member) * self._factors.get(member.kind, 1.0)
+        return self.listed_size(member) * self._factors.get(member.kind, 1.0)
 
-    def give(self, server: Server) -> None:
+    def set_size(self, server: Server) -> None:
         """Set a server's size by it."""
-        server.size = self.size(server.member)
+        server.size = self.estimated_size(server.member)
 
-    def learn(self, servers: Iterable[Server], now: float) -> bool:
+    def update(self, servers: Iterable[Server], now: float) -> bool:
         """Look at what servers have shown up to `now`; whether some size has changed by it."""
         gap, self._seen = now - self._seen, now
         fade = math.exp(-gap / LONG_MS)
         known: Mapping[str, list[tuple[float, float]]] = defaultdict(list)
         for server in servers:
             if server.served and server.busy:
-                speed = server.served / server.busy / self.base(server.member)
+                speed = server.served / server.busy / self.listed_size(server.member)
                 for kind in (server.member.kind, ALL):
                     known[kind].append((speed, server.served))
         for kind in {*known, *self._shown}:
             calls, time = self._shown.get(kind, (0.0, 0.0))
-            more, took = pooled(known.get(kind, []))
+            more, took = pool_middle_half(known.get(kind, []))
             part = min(gap / MEMORY_MS, 1.0)  # the rest of it was there at the last look
             self._shown[kind] = calls * fade + more * part, time * fade + took * part
         moved, (all_calls, all_time) = False, self._shown.get(ALL, (0.0, 0.0))
@@ -66,7 +66,7 @@
         return moved
 
 
-def pooled(known: list[tuple[float, float]]) -> tuple[float, float]:
+def pool_middle_half(known: list[tuple[float, float]]) -> tuple[float, float]:
     """Calls, and their time, of the middle half of some servers, given by speed and calls.
 
     Of few calls each most are far off, and one that hangs must not stand for all.
--- a/umberworks/shares.py
+++ b/umberworks/quotas.py
@@ -11,14 +11,14 @@
 BURST = 4.0  # ... and so many requests; a small part of a share comes to less than one
 
 
-class Shares:
+class TenantQuotas:
     """One bucket for each tenant, filled at our part of its rate."""
 
     def __init__(self, tenants: Iterable[Tenant], balancers: int) -> None:
         self._rates = {t.name: t.quota_per_s / balancers / 1000 for t in tenants}
         self._levels: dict[str, tuple[float, float]] = {}
 
-    def is_over(self, tenant: str | None, now: float) -> bool:
+    def exceeds_quota(self, tenant: str | None, now: float) -> bool:
         """Book a request; whether its tenant is past its share: the excess is worth little."""
         rate = self._rates.get(tenant or "")
         if rate is None or tenant is None:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -18,11 +18,11 @@
 from umberworks.concurrency import ConcurrencyLimits
 from umberworks.handover import ImportedState, export_state
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
-from umberworks.kinds import Kinds
+from umberworks.kinds import KindSpeeds
+from umberworks.quotas import TenantQuotas
 from umberworks.recovery import RecoveryPauses
 from umberworks.requests import Attempt, Request, Tries
 from umberworks.servers import MEMORY_MS, Fleet, Pick, Server
-from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
 
 FEW = 16  # of up to so many servers a pick walks over all, which takes as long as trials
@@ -60,12 +60,12 @@
         self._rest, self._heritage, self._kinds = (
             RecoveryPauses(),
             ImportedState(),
-            Kinds(settings.sizes_exact),
+            KindSpeeds(settings.sizes_exact),
         )
         self._books = Books(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
-        self._shares = Shares(settings.tenants, settings.balancers)
+        self._shares = TenantQuotas(settings.tenants, settings.balancers)
         self._asking = Asking(settings, self._random)
         self._asked, self._counted, self._sliver = False, False, False
         self._refusing_until = -math.inf
@@ -103,8 +103,8 @@
             case face.BodyEnded():
                 self._body_ended(event, now)
             case face.Inherited():
-                self._heritage.take(event, self._room)
-                self._draw_anew(self._heritage.give)
+                self._heritage.load(event, self._room)
+                self._draw_anew(self._heritage.apply)
             case face.BodySpent():
                 if (request := self._requests.get(event.request)) is not None:
                     request.spent = True
@@ -130,8 +130,8 @@
             if server is None:
                 server = Server(member, now, self._random.random(), self._slow_start.warmth)
                 self._servers[member.server] = server
-                self._heritage.give(server)
-            size = self._kinds.size(member)
+                self._heritage.apply(server)
+            size = self._kinds.estimated_size(member)
             if member.up_since_ms > server.member.up_since_ms or size != server.size:
                 self._is_fit(server, False)  # what it is drawn by changes
             if member.up_since_ms > server.member.up_since_ms:
@@ -199,7 +199,7 @@
         if event.class_name not in self._classes:
             raise ValueError(f"request {event.request} is of unknown class {event.class_name!r}")
         request = Request(event, self._classes[event.class_name], now)
-        request.over_share = self._shares.is_over(event.tenant, now)
+        request.over_share = self._shares.exceeds_quota(event.tenant, now)
         if self._settings.calling_tier == 0:
             self._tries[request.cls.name].note(request, event.remaining_ms)
         self._requests[request.id] = request
@@ -440,8 +440,8 @@
             if self._counted and self._crowd.enabled:
                 said = self._rest.update(some, now < self._refusing_until, self._crowd.min_limit, now)
                 self._actions += [face.Log(said)] if said else []
-            if self._kinds.learn(some, now):
-                self._draw_anew(self._kinds.give)
+            if self._kinds.update(some, now):
+                self._draw_anew(self._kinds.set_size)
             known = sorted(s.served / s.busy / s.size for s in some if s.served > 0.5 and s.busy > 0)
             if known:
                 self._median = known[len(known) // 2]
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from umberworks import interface as face
-from umberworks.kinds import pooled
+from umberworks.kinds import pool_middle_half
 from umberworks.servers import MEMORY_MS, Server
 
 SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
@@ -41,7 +41,7 @@
                 known.append((server.served / server.busy / server.size, server.served))
         if warm:
             self.usual_rate = sum(warm) / len(warm) / MEMORY_MS
-        calls, time = pooled(known)
+        calls, time = pool_middle_half(known)
         if calls >= LEAST_CALLS:
             self.alone = calls / time
 
