--- a/tests/plain.py
+++ b/tests/plain.py
@@ -27,8 +27,8 @@
         if cls.repeat_group is not RepeatGroup.ALL:
             place = "zone" if cls.repeat_group is RepeatGroup.ZONE else "cell"
             found = [s for s in found if getattr(s.member, place) == getattr(ran.server.member, place)]
-    if now < balancer._slow_start.until:
-        found = [s for s in found if balancer._slow_start.has_room(s, now)]
+    if now < balancer._slow_start.cold_until:
+        found = [s for s in found if balancer._slow_start.admits(s, now)]
     if request.attempts:
         tried = [a.server for a in request.attempts]
         found = [s for s in found if s not in tried] or found
@@ -43,7 +43,7 @@
         return None
     capacity = []
     for server in found:
-        warmth = balancer._slow_start.warmth(server, now) if now < balancer._slow_start.until else 1.0
+        warmth = balancer._slow_start.warmth(server, now) if now < balancer._slow_start.cold_until else 1.0
         capacity.append(server.capacity(median, now) * warmth)
     sums = list(accumulate(capacity))
     best, chosen = (math.inf, 0.0, 0.0), found[-1]
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -73,7 +73,7 @@
     def warmth(self, server: Any, now: float) -> float:
         return 1.0
 
-    def has_room(self, server: Any, now: float) -> bool:
+    def admits(self, server: Any, now: float) -> bool:
         return True
 
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -17,14 +17,14 @@
 from tests.helpers import Desk
 from tests.test_fleet import COLD_FROM, COLD_MS, FACTOR, SERVERS, TAKES_MS, WINDOW_MS, Fleet
 from umberworks.interface import Attached, Detached, Member
-from umberworks.slow_start import LEAST_CORES
+from umberworks.slow_start import MIN_CORES
 
 LONG_CALL_MS = 5 * TAKES_MS
 
 
 def allowed(warmth: float, takes: float) -> float:
     """N of the rule: what a server so warm can be sent in a window, in calls."""
-    return FACTOR * warmth * LEAST_CORES * WINDOW_MS / takes
+    return FACTOR * warmth * MIN_CORES * WINDOW_MS / takes
 
 
 def assert_within_budget(fleet: Fleet, since: float) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
     Subscribe,
     TimerDue,
 )
-from umberworks.slow_start import LEAST_CORES
+from umberworks.slow_start import MIN_CORES
 
 BALANCERS, SERVERS, TAKES_MS = 10, 16, 30.0
 COLD_MS, FACTOR, WINDOW_MS, COLD_FROM = 24_000.0, 3.0, 1_500.0, 0.15
@@ -80,7 +80,7 @@
             times = [t for t, s in self.calls if s == server]
             for t in times:
                 warmth = COLD_FROM + (1 - COLD_FROM) * (t - since) / COLD_MS
-                most = FACTOR * warmth * LEAST_CORES * WINDOW_MS / self.takes
+                most = FACTOR * warmth * MIN_CORES * WINDOW_MS / self.takes
                 yield sum(t - WINDOW_MS < other <= t for other in times), most
 
     def run(self, ms: float) -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -36,7 +36,7 @@
     TimerDue,
 )
 from umberworks.rules import Balancer
-from umberworks.slow_start import LEAST_CORES
+from umberworks.slow_start import MIN_CORES
 
 GRACE_MS = 20.0
 TAKES_MS = 80.0  # mean of a call at a warm server
@@ -156,7 +156,7 @@
         mine = self.sends.setdefault(member.server, [])
         warmth = self.warmth(member)
         if warmth < 1:
-            alone = LEAST_CORES * window / TAKES_MS / self.settings.balancers
+            alone = MIN_CORES * window / TAKES_MS / self.settings.balancers
             most = self.settings.cold_overload_factor * warmth * max(self.busiest, alone)
             count = 1 + sum(t > self.now - window for t in mine)
             assert count <= max(1, most), f"a cold server pushed over: {count} calls, at most {most}"
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -146,9 +146,9 @@
     monkeypatch.setattr(balancer, "_choose", lambda: None)
     looked = Counter[str]()
     monkeypatch.setattr(
-        balancer._slow_start, "has_room", lambda server, now: looked.update([server.member.server])
+        balancer._slow_start, "admits", lambda server, now: looked.update([server.member.server])
     )
-    balancer._slow_start.until = math.inf
+    balancer._slow_start.cold_until = math.inf
     assert balancer._pick(request(), desk.now) is None
     assert looked.total() <= TRIALS + WALK
 
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -139,7 +139,7 @@
             server.member, server.size = member, size
             server.listed = member.readiness is face.Readiness.READY
             self._is_fit(server, server.listed and member.server not in self._detached)
-            self._slow_start.started(member.up_since_ms)
+            self._slow_start.note_start(member.up_since_ms)
         for name, server in list(self._leaving.items()):
             if server.listed or not server.in_flight:
                 del self._leaving[name]
@@ -153,7 +153,7 @@
         server = self._servers.get(event.server)
         was_out = event.server in self._detached
         self._detached.discard(event.server)
-        self._slow_start.started(event.at_ms)
+        self._slow_start.note_start(event.at_ms)
         if server is not None and (was_out or server.back_at < event.at_ms):
             server.back_at = max(server.back_at, event.at_ms)
             self._is_fit(server, False)
@@ -187,7 +187,7 @@
         ready = len(self._fleet.ready)
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
         self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * ready
-        self._slow_start.learn(
+        self._slow_start.update(
             self._fleet.ready[: min(self._fleet.keeps, WALK)], self._now
         )  # ranks are drawn
 
@@ -383,7 +383,7 @@
         """Draw servers by capacity and take the one least loaded after this call."""
         median = self._known_median(now)
         count, harmless = self._able(request, now)
-        cold, tried = now < self._slow_start.until, [a.server for a in request.attempts]
+        cold, tried = now < self._slow_start.cold_until, [a.server for a in request.attempts]
         pick = Pick(self._random, now, median, cold, self._sliver)
         crowded = self._counted and self._crowd.enabled and harmless is None  # a repeat has few places to go
 
@@ -393,7 +393,7 @@
             def test(server: Server) -> bool:
                 return (
                     (harmless is None or harmless(server))
-                    and (not cold or self._slow_start.has_room(server, now))
+                    and (not cold or self._slow_start.admits(server, now))
                     and (not crowded or (self._crowd.admits(server, now) and server.rests_until <= now))
                 )
 
@@ -421,7 +421,7 @@
         window = self._settings.cold_window_ms
         due = (s for s in self._back if s.fit and now - s.last_sent >= window)
         # Many balancers may be told at one moment: the budget of all holds here too.
-        return next((s for s in due if self._slow_start.has_room(s, now)), None)
+        return next((s for s in due if self._slow_start.admits(s, now)), None)
 
     def _look(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
         """The first ready servers that pass a test, of so many that a walk over them is short."""
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -15,7 +15,7 @@
 from umberworks.servers import MEMORY_MS, Server
 
 SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
-LEAST_CORES = 2  # that a server has: so many calls it serves beside one another at full speed
+MIN_CORES = 2  # that a server has: so many calls it serves beside one another at full speed
 LEAST_CALLS = 4.0  # in memory, to tell how fast a server is
 MOST_OWED = 2.0  # windows' worth of calls that a balancer saves up: all balancers' may come at once
 LEAST_BUDGET = 3.0  # calls in a window that the rule lets pass, however little a server can do
@@ -26,11 +26,11 @@
 
     def __init__(self, settings: face.Settings, chance: random.Random) -> None:
         self._settings, self._chance = settings, chance
-        self.until = 0.0  # some listed server may be cold up to then
-        self.usual_rate = 0.0  # served calls a millisecond of a warm server
-        self.alone = 0.0  # calls a millisecond that one can serve one after the other, when it is warm
+        self.cold_until = 0.0  # some listed server may be cold up to then
+        self.warm_rate = 0.0  # served calls a millisecond of a warm server
+        self.sequential_rate = 0.0  # calls/ms that a warm server completes one after the other
 
-    def learn(self, servers: Iterable[Server], now: float) -> None:
+    def update(self, servers: Iterable[Server], now: float) -> None:
         """Measure what warm servers serve, and how fast any would when it is warm."""
         warm, known = [], []
         for server in servers:
@@ -40,14 +40,14 @@
             if server.served and server.busy:
                 known.append((server.served / server.busy / server.size, server.served))
         if warm:
-            self.usual_rate = sum(warm) / len(warm) / MEMORY_MS
+            self.warm_rate = sum(warm) / len(warm) / MEMORY_MS
         calls, time = pool_middle_half(known)
         if calls >= LEAST_CALLS:
-            self.alone = calls / time
+            self.sequential_rate = calls / time
 
-    def started(self, at: float) -> None:
+    def note_start(self, at: float) -> None:
         """A server has started."""
-        self.until = max(self.until, at + self._settings.cold_ms)
+        self.cold_until = max(self.cold_until, at + self._settings.cold_ms)
 
     def warmth(self, server: Server, now: float) -> float:
         """The share of its capacity that a server has at the least, by its age."""
@@ -58,13 +58,13 @@
         start = self._settings.cold_from
         return start + (1 - start) * age / self._settings.cold_ms
 
-    def has_room(self, server: Server, now: float) -> bool:
+    def admits(self, server: Server, now: float) -> bool:
         """Whether a cold server can take a call: evenly spaced, as bursts and roundings of many add up."""
         warmth = self.warmth(server, now)
         if warmth >= 1:
             return True
         window, balancers = self._settings.cold_window_ms, self._settings.balancers
-        rate = max(self.usual_rate, LEAST_CORES * self.alone * server.size / balancers)
+        rate = max(self.warm_rate, MIN_CORES * self.sequential_rate * server.size / balancers)
         budget = SAFETY * self._settings.cold_overload_factor * warmth * rate * window
         part = max(budget, min(LEAST_BUDGET / balancers, 1.0))
         gap = now - server.last_sent
