--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -17,7 +17,7 @@
     DISABLED_MS,
     MIN_SLOW_MS,
     PAUSE_MS,
-    RecoveryPauses,
+    Recovery,
 )
 from umberworks.servers import MEMORY_MS, Server
 
@@ -117,7 +117,7 @@
         self.views = [[server(name) for name in self.names] for _ in range(balancers)]
         for view in self.views[1::2]:
             view.reverse()  # each keeps its servers in an order of its own
-        self.rests = [RecoveryPauses() for _ in range(balancers)]
+        self.rests = [Recovery() for _ in range(balancers)]
         self.times = dict.fromkeys(self.names, 1.0)
         self.idle = dict.fromkeys(self.names, 0.0)  # since when nobody sends, summed for chokes
         self.choked: set[str] = set()
--- a/umberworks/handover.py
+++ b/umberworks/handover.py
@@ -36,7 +36,7 @@
     )
 
 
-class ImportedState:
+class Handover:
     """What was handed to this version, until each server that it tells of is listed."""
 
     def __init__(self) -> None:
--- a/umberworks/recovery.py
+++ b/umberworks/recovery.py
@@ -31,7 +31,7 @@
 CEILING_FACTOR = 0.8  # of what it could hold that a server may hold after it was choked
 
 
-class RecoveryPauses:
+class Recovery:
     """Who rests, and who is next."""
 
     def __init__(self) -> None:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -16,11 +16,11 @@
 from umberworks.asking import Asking
 from umberworks.books import Books
 from umberworks.concurrency import ConcurrencyLimits
-from umberworks.handover import ImportedState, export_state
+from umberworks.handover import Handover, export_state
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.kinds import KindSpeeds
 from umberworks.quotas import TenantQuotas
-from umberworks.recovery import RecoveryPauses
+from umberworks.recovery import Recovery
 from umberworks.requests import Attempt, Request, Tries
 from umberworks.servers import MEMORY_MS, Fleet, Pick, Server
 from umberworks.slow_start import SlowStart
@@ -57,11 +57,7 @@
         self._retries, self._now = RETRY_BURST, 0.0
         self._room = AdmissionControl(settings.balancers)
         self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
-        self._rest, self._heritage, self._kinds = (
-            RecoveryPauses(),
-            ImportedState(),
-            KindSpeeds(settings.sizes_exact),
-        )
+        self._rest, self._heritage, self._kinds = Recovery(), Handover(), KindSpeeds(settings.sizes_exact)
         self._books = Books(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
