--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -19,7 +19,6 @@
 from tests.helpers import Desk, settings
 from tests.loopback import listing, member
 from tests.virtual import simulated
-from umberworks.asking import Asking
 from umberworks.interface import (
     Action,
     Event,
@@ -32,6 +31,7 @@
     Subscribe,
     TimerDue,
 )
+from umberworks.list_backoff import ListBackoff
 
 PLACE = ("10.0.0.1", 8500)
 
@@ -111,10 +111,10 @@
 def test_the_next_call_is_made_before_the_last_that_counts_is_too_long_ago(
     within: float, balancers: int, seed: int, unheard: list[float]
 ) -> None:
-    asking = Asking(settings(balancers=balancers, ask_within_ms=within), random.Random(seed))
-    assert asking.first() <= within / 2
+    asking = ListBackoff(settings(balancers=balancers, ask_within_ms=within), random.Random(seed))
+    assert asking.initial_delay() <= within / 2
     for share in unheard:
-        assert share * within + asking.again(share * within) <= within or share >= 0.95
+        assert share * within + asking.retry_delay(share * within) <= within or share >= 0.95
 
 
 class Judge:
@@ -199,14 +199,14 @@
 
 
 def test_after_too_long_a_silence_the_call_is_made_soon_but_not_at_one_moment() -> None:
-    asking = [Asking(settings(balancers=200), random.Random(seed)) for seed in range(200)]
-    pauses = [a.again(12_000.0) for a in asking]
+    asking = [ListBackoff(settings(balancers=200), random.Random(seed)) for seed in range(200)]
+    pauses = [a.retry_delay(12_000.0) for a in asking]
     assert max(pauses) <= 500 and max(pauses) - min(pauses) > 400
 
 
 def test_a_place_that_stays_out_of_reach_is_asked_ever_less() -> None:
     # Refused connections come back at once: a short pause each time would fill the log for as long as that lasts.
-    asking, now = Asking(settings(balancers=200), random.Random(1)), 12_000.0
+    asking, now = ListBackoff(settings(balancers=200), random.Random(1)), 12_000.0
     for _ in range(200):
-        now += asking.again(now)
+        now += asking.retry_delay(now)
     assert now > 200_000
--- a/umberworks/asking.py
+++ b/umberworks/list_backoff.py
@@ -19,7 +19,7 @@
 MANY_FROM, FEW_FROM = 0.8, 0.3  # of the longest pause: where many, and where few, begin theirs
 
 
-class Asking:
+class ListBackoff:
     """The pauses before calls for the list."""
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
@@ -28,11 +28,11 @@
         self._span = min(spread, self._within / 2)  # and half as long again at the most
         self.failures = 0  # since the list last came
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """The pause before the first call at a start or after a move: others begin with us."""
         return self._span and self._span * self._chance.random()
 
-    def again(self, unheard_ms: float) -> float:
+    def retry_delay(self, unheard_ms: float) -> float:
         """The pause after a call that failed; a short one where none that counts was made for long."""
         least = min(RETRY_MS * float(2 ** min(self.failures, 9)), self._within / 3)
         most = min(1.5 * max(least, self._span), LONGEST_MS)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -13,12 +13,12 @@
 
 from umberworks import interface as face
 from umberworks.admission import RATE_DECAY_MS, AdmissionControl
-from umberworks.asking import Asking
 from umberworks.books import Books
 from umberworks.concurrency import ConcurrencyLimits
 from umberworks.handover import Handover, export_state
 from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
 from umberworks.kinds import KindSpeeds
+from umberworks.list_backoff import ListBackoff
 from umberworks.quotas import TenantQuotas
 from umberworks.recovery import Recovery
 from umberworks.requests import Attempt, Request, Tries
@@ -62,7 +62,7 @@
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
         self._shares = TenantQuotas(settings.tenants, settings.balancers)
-        self._asking = Asking(settings, self._random)
+        self._asking = ListBackoff(settings, self._random)
         self._asked, self._counted, self._sliver = False, False, False
         self._refusing_until = -math.inf
         self._actions: list[face.Action] = []
@@ -72,7 +72,7 @@
         self._actions = []
         if self._settings.list_is_asked and (isinstance(event, face.ListMoved) or not self._asked):
             self._asked = True
-            wait = self._asking.first()
+            wait = self._asking.initial_delay()
             self._actions.append(face.SetTimer(now + wait, "list") if wait else face.Subscribe())
         self._books.release(now)
         self._room.catch_up(now)
@@ -111,7 +111,7 @@
         if event.kind is ListKind.FAILED:
             if not self._asking.failures:
                 self._actions.append(face.Log("server list out of reach; keeping the last one"))
-            self._actions.append(face.SetTimer(now + self._asking.again(event.unheard_ms), "list"))
+            self._actions.append(face.SetTimer(now + self._asking.retry_delay(event.unheard_ms), "list"))
             return
         if self._asking.failures and event.kind is not ListKind.SAVED:
             self._asking.failures = 0
