--- a/umberworks/asking.py
+++ b/umberworks/list_backoff.py
@@ -9,8 +9,8 @@
 
 import random
 
+from umberworks.admission import MANY_BALANCERS
 from umberworks.interface import Settings
-from umberworks.room import MANY
 
 RETRY_MS = 500.0  # first pause before the list is asked again, doubled at each failure
 TURN_MS = 50.0  # that discovery may take for a call
@@ -19,20 +19,20 @@
 MANY_FROM, FEW_FROM = 0.8, 0.3  # of the longest pause: where many, and where few, begin theirs
 
 
-class Asking:
+class ListBackoff:
     """The pauses before calls for the list."""
 
     def __init__(self, settings: Settings, chance: random.Random) -> None:
         self._within, self._chance = settings.ask_within_ms, chance
-        spread = TURN_MS * settings.balancers * (settings.balancers > MANY)
+        spread = TURN_MS * settings.balancers * (settings.balancers > MANY_BALANCERS)
         self._span = min(spread, self._within / 2)  # and half as long again at the most
         self.failures = 0  # since the list last came
 
-    def first(self) -> float:
+    def initial_delay(self) -> float:
         """The pause before the first call at a start or after a move: others begin with us."""
         return self._span and self._span * self._chance.random()
 
-    def again(self, unheard_ms: float) -> float:
+    def retry_delay(self, unheard_ms: float) -> float:
         """The pause after a call that failed; a short one where none that counts was made for long."""
         least = min(RETRY_MS * float(2 ** min(self.failures, 9)), self._within / 3)
         most = min(1.5 * max(least, self._span), LONGEST_MS)
