--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -47,43 +47,43 @@
     return tuple(Member(f"s{i}", zone=f"z{i % 2}", cell=i // 2, **changes) for i in range(count))
 
 
-class Desk:
+class BalancerHarness:
     """A balancer with a list, and the time and request numbers kept for it."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
         self.now = 1_000.0
-        self.log: list[Action] = []
-        self.show(*members(count))
+        self.all_actions: list[Action] = []
+        self.update_list(*members(count))
         self._next = 0
 
-    def tell(self, event: Any) -> list[Action]:
+    def deliver(self, event: Any) -> list[Action]:
         actions = self.balancer.handle(event, self.now)
-        self.log.extend(actions)
+        self.all_actions.extend(actions)
         return actions
 
-    def show(self, *entries: Member, kind: ListKind = ListKind.WHOLE) -> list[Action]:
-        return self.tell(ListUpdate(kind, entries))
+    def update_list(self, *entries: Member, kind: ListKind = ListKind.WHOLE) -> list[Action]:
+        return self.deliver(ListUpdate(kind, entries))
 
-    def ask(
+    def new_request(
         self, cls: RequestClass = READ, remaining: float = 3_000, **more: Any
     ) -> tuple[int, list[Action]]:
         self._next += 1
-        return self._next, self.tell(RequestArrived(self._next, cls.name, remaining, **more))
+        return self._next, self.deliver(RequestArrived(self._next, cls.name, remaining, **more))
 
-    def end(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
-        return self.tell(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
+    def end_attempt(self, request: int, attempt: int, server: str, outcome: Outcome) -> list[Action]:
+        return self.deliver(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
-    def serve(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
+    def serve_request(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
         """One request, served by whichever server it is sent to; each may take its own time."""
-        request, actions = self.ask(cls)
+        request, actions = self.new_request(cls)
         server = sent(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
-        self.end(request, 0, server, Outcome.SERVED)
+        self.end_attempt(request, 0, server, Outcome.SERVED)
         return server
 
 
-def warm(server: Server, now: float) -> float:
+def always_warm(server: Server, now: float) -> float:
     """The warmth of a server that has run for long."""
     return 1.0
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -16,7 +16,7 @@
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import listen
-from tests.helpers import Desk, settings
+from tests.helpers import BalancerHarness, settings
 from tests.loopback import listing, member
 from tests.virtual import simulated
 from umberworks.asking import Asking
@@ -122,11 +122,11 @@
 
     def __init__(self, within: float, balancers: int, seed: int) -> None:
         self.within, self.now = within, 1_000.0
-        self.desk = Desk(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within)
+        self.harness = BalancerHarness(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within)
         self.counted, self.times = self.now, 1
         self.due: list[float] = []
         self.asked = False  # a call is out
-        self.hear(self.desk.log)
+        self.hear(self.harness.all_actions)
 
     def hear(self, actions: list[Action]) -> None:
         for action in actions:
@@ -136,8 +136,8 @@
                 self.asked, self.counted, self.times = True, self.now, 1
 
     def tell(self, event: Event) -> None:
-        self.desk.now = self.now
-        self.hear(self.desk.tell(event))
+        self.harness.now = self.now
+        self.hear(self.harness.deliver(event))
 
     def wait_for_the_call(self) -> None:
         while not self.asked:
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.helpers import Desk
+from tests.helpers import BalancerHarness
 from tests.test_fleet import COLD_FROM, COLD_MS, FACTOR, SERVERS, TAKES_MS, WINDOW_MS, Fleet
 from umberworks.interface import Attached, Detached, Member
 from umberworks.slow_start import LEAST_CORES
@@ -74,8 +74,8 @@
     started = fleet.now
     again = [Member(server, up_since_ms=started) for server in fleet.since]
     fleet.since = dict.fromkeys(fleet.since, started)
-    for desk in fleet.desks:
-        fleet.take(desk, desk.show(*again))
+    for harness in fleet.harnesses:
+        fleet.take(harness, harness.update_list(*again))
     fleet.run(4_000)
     assert_within_budget(fleet, started)
 
@@ -86,15 +86,15 @@
     fleet = Fleet(every=4.0, balancers=60, takes=LONG_CALL_MS)
     fleet.run(4_000)
     names = [f"s{i}" for i in range(SERVERS)]
-    for desk in fleet.desks:
+    for harness in fleet.harnesses:
         for name in names[:2]:
-            desk.tell(Detached(name))
+            harness.deliver(Detached(name))
     fleet.run(1_000)
     started = fleet.now
     fleet.since = dict.fromkeys(names[:2], started)
-    for desk in fleet.desks:
+    for harness in fleet.harnesses:
         for name in names[:2]:
-            fleet.take(desk, desk.tell(Attached(name, started)))
+            fleet.take(harness, harness.deliver(Attached(name, started)))
     fleet.run(4_000)
     calls = [(t, name) for t, name in fleet.calls if name in names[:2]]
     assert [t for t, _ in calls if t >= started], "they are in use again"
@@ -125,7 +125,9 @@
 
 
 def test_a_balancer_that_stands_alone_sends_a_cold_server_its_first_call_at_once() -> None:
-    desk = Desk(0, balancers=1, cold_ms=COLD_MS, cold_from=COLD_FROM, cold_overload_factor=FACTOR)
-    desk.show(Member("n0", up_since_ms=desk.now))
-    desk.now += 1.0
-    assert desk.serve() == "n0"
+    harness = BalancerHarness(
+        0, balancers=1, cold_ms=COLD_MS, cold_from=COLD_FROM, cold_overload_factor=FACTOR
+    )
+    harness.update_list(Member("n0", up_since_ms=harness.now))
+    harness.now += 1.0
+    assert harness.serve_request() == "n0"
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import warm
+from tests.helpers import always_warm
 from umberworks.crowd import GROW, LEAST, Crowd
 from umberworks.interface import Member
 from umberworks.rest import EASED, OFF_MS, REST_MS, SLOW_FOR_MS, SURE_MS, Rest
@@ -19,7 +19,7 @@
 
 
 def server(name: str) -> Server:
-    made = Server(Member(name), START, 0.5, warm)
+    made = Server(Member(name), START, 0.5, always_warm)
     made.fit = made.listed = True
     return made
 
--- a/tests/test_detached.py
+++ b/tests/test_detached.py
@@ -8,119 +8,121 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests.helpers import ORDER, READ, Desk, members, sent
+from tests.helpers import ORDER, READ, BalancerHarness, members, sent
 from umberworks.interface import Attached, Detached, ListKind, Member, Outcome, Readiness
 
 
-def picked(desk: Desk, calls: int = 60) -> set[str]:
-    return {desk.serve() for _ in range(calls)}
+def picked(harness: BalancerHarness, calls: int = 60) -> set[str]:
+    return {harness.serve_request() for _ in range(calls)}
 
 
 def test_nothing_new_goes_to_one_that_was_taken_out_whatever_the_list_says() -> None:
-    desk = Desk(4)
-    desk.tell(Detached("s1"))
-    assert picked(desk) == {"s0", "s2", "s3"}
-    desk.show(*members(4))
-    desk.show(Member("s1", Readiness.DRAINING), kind=ListKind.CHANGES)
-    desk.show(Member("s1"), kind=ListKind.CHANGES)
-    assert "s1" not in picked(desk)
-    desk.show(Member("s1", Readiness.GONE), kind=ListKind.CHANGES)
-    desk.show(Member("s1", up_since_ms=desk.now), kind=ListKind.CHANGES)
-    assert "s1" not in picked(desk)
+    harness = BalancerHarness(4)
+    harness.deliver(Detached("s1"))
+    assert picked(harness) == {"s0", "s2", "s3"}
+    harness.update_list(*members(4))
+    harness.update_list(Member("s1", Readiness.DRAINING), kind=ListKind.CHANGES)
+    harness.update_list(Member("s1"), kind=ListKind.CHANGES)
+    assert "s1" not in picked(harness)
+    harness.update_list(Member("s1", Readiness.GONE), kind=ListKind.CHANGES)
+    harness.update_list(Member("s1", up_since_ms=harness.now), kind=ListKind.CHANGES)
+    assert "s1" not in picked(harness)
 
 
 def test_one_that_is_taken_out_before_the_list_names_it_stays_out() -> None:
-    desk = Desk(0)
-    desk.tell(Detached("s0"))
-    desk.show(*members(2))
-    assert picked(desk) == {"s1"}
+    harness = BalancerHarness(0)
+    harness.deliver(Detached("s0"))
+    harness.update_list(*members(2))
+    assert picked(harness) == {"s1"}
 
 
 def test_a_request_that_failed_is_not_sent_to_one_taken_out_meanwhile() -> None:
-    desk = Desk(2)
-    request, actions = desk.ask()
+    harness = BalancerHarness(2)
+    request, actions = harness.new_request()
     first = sent(actions)[0].server
     other = "s1" if first == "s0" else "s0"
-    desk.tell(Detached(other))
-    assert [s.server for s in sent(desk.end(request, 0, first, Outcome.UNREACHED))] == [first]
+    harness.deliver(Detached(other))
+    assert [s.server for s in sent(harness.end_attempt(request, 0, first, Outcome.UNREACHED))] == [first]
 
 
 def test_with_all_taken_out_requests_are_refused_in_the_end_and_served_once_one_is_back() -> None:
-    desk = Desk(2, cold_ms=0)
+    harness = BalancerHarness(2, cold_ms=0)
     for name in ("s0", "s1"):
-        desk.tell(Detached(name))
-    _, actions = desk.ask()
+        harness.deliver(Detached(name))
+    _, actions = harness.new_request()
     assert not sent(actions)
-    assert [s.server for s in sent(desk.tell(Attached("s1", desk.now)))] == ["s1"]  # it has waited for that
-    assert desk.serve() == "s1"
+    assert [s.server for s in sent(harness.deliver(Attached("s1", harness.now)))] == [
+        "s1"
+    ]  # it has waited for that
+    assert harness.serve_request() == "s1"
 
 
 def test_one_put_back_counts_as_just_started_until_the_list_tells() -> None:
-    desk = Desk(4, cold_ms=10_000)
-    picked(desk)
-    desk.tell(Detached("s1"))
-    desk.now += 5_000
-    desk.tell(Attached("s1", desk.now))
-    balancer = desk.balancer
+    harness = BalancerHarness(4, cold_ms=10_000)
+    picked(harness)
+    harness.deliver(Detached("s1"))
+    harness.now += 5_000
+    harness.deliver(Attached("s1", harness.now))
+    balancer = harness.balancer
     server = balancer._servers["s1"]
-    assert balancer._slow_start.warmth(server, desk.now) == 0.2
+    assert balancer._slow_start.warmth(server, harness.now) == 0.2
     assert server.served == 0  # what was known of it was of another process
-    desk.show(*members(4))  # an old list does not make it warm
-    assert balancer._slow_start.warmth(server, desk.now) == 0.2
-    assert balancer._slow_start.warmth(server, desk.now + 10_000) == 1.0
-    desk.show(replace(members(4)[1], up_since_ms=desk.now + 4_000), kind=ListKind.CHANGES)
-    assert balancer._slow_start.warmth(server, desk.now + 4_000) == 0.2
+    harness.update_list(*members(4))  # an old list does not make it warm
+    assert balancer._slow_start.warmth(server, harness.now) == 0.2
+    assert balancer._slow_start.warmth(server, harness.now + 10_000) == 1.0
+    harness.update_list(replace(members(4)[1], up_since_ms=harness.now + 4_000), kind=ListKind.CHANGES)
+    assert balancer._slow_start.warmth(server, harness.now + 4_000) == 0.2
 
 
 def test_one_put_back_is_in_use_again_at_once_though_it_is_cold_and_others_are_idle() -> None:
-    desk = Desk(12, cold_ms=20_000, cold_from=0.15)
-    picked(desk)
-    desk.tell(Detached("s1"))
-    desk.now += 5_000
-    desk.tell(Attached("s1", desk.now))
-    assert desk.serve() == "s1"
-    later = [desk.serve() for _ in range(20)]
+    harness = BalancerHarness(12, cold_ms=20_000, cold_from=0.15)
+    picked(harness)
+    harness.deliver(Detached("s1"))
+    harness.now += 5_000
+    harness.deliver(Attached("s1", harness.now))
+    assert harness.serve_request() == "s1"
+    later = [harness.serve_request() for _ in range(20)]
     assert later.count("s1") <= 1  # one call shows it; it is not pushed over
 
 
 def test_one_put_back_long_ago_is_in_use_and_warm() -> None:
-    desk = Desk(2)
-    desk.tell(Detached("s0"))
-    desk.tell(Attached("s0", 0.0))
-    assert picked(desk) == {"s0", "s1"}
+    harness = BalancerHarness(2)
+    harness.deliver(Detached("s0"))
+    harness.deliver(Attached("s0", 0.0))
+    assert picked(harness) == {"s0", "s1"}
 
 
 def test_one_put_back_that_fails_is_tried_now_and_then_only() -> None:
-    desk = Desk(12, cold_ms=20_000, cold_from=0.15)
-    picked(desk)
-    desk.tell(Detached("s1"))
-    desk.tell(Attached("s1", desk.now))
+    harness = BalancerHarness(12, cold_ms=20_000, cold_from=0.15)
+    picked(harness)
+    harness.deliver(Detached("s1"))
+    harness.deliver(Attached("s1", harness.now))
     tries = 0
-    start = desk.now
-    while desk.now < start + 5_000:
-        request, actions = desk.ask()
+    start = harness.now
+    while harness.now < start + 5_000:
+        request, actions = harness.new_request()
         server = sent(actions)[0].server
-        desk.now += 10
+        harness.now += 10
         if server == "s1":
             tries += 1
-            again = sent(desk.end(request, 0, "s1", Outcome.UNREACHED))
+            again = sent(harness.end_attempt(request, 0, "s1", Outcome.UNREACHED))
             assert again and again[0].server != "s1"
             server = again[0].server
-            desk.end(request, 1, server, Outcome.SERVED)
+            harness.end_attempt(request, 1, server, Outcome.SERVED)
         else:
-            desk.end(request, 0, server, Outcome.SERVED)
+            harness.end_attempt(request, 0, server, Outcome.SERVED)
     assert 2 <= tries <= 11
 
 
 def test_a_repeat_does_not_go_to_one_put_back_since_the_first_try() -> None:
-    desk = Desk(2, cold_ms=0)
-    request, actions = desk.ask(ORDER)  # s0 and s1 are one cell
+    harness = BalancerHarness(2, cold_ms=0)
+    request, actions = harness.new_request(ORDER)  # s0 and s1 are one cell
     first = sent(actions)[0].server
     other = "s1" if first == "s0" else "s0"
-    desk.now += 10
-    desk.tell(Detached(other))
-    desk.tell(Attached(other, desk.now))
-    again = sent(desk.end(request, 0, first, Outcome.BROKEN))
+    harness.now += 10
+    harness.deliver(Detached(other))
+    harness.deliver(Attached(other, harness.now))
+    again = sent(harness.end_attempt(request, 0, first, Outcome.BROKEN))
     assert [s.server for s in again] in ([], [first])
 
 
@@ -129,7 +131,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.desk = Desk(0, cold_ms=2_000)
+        self.harness = BalancerHarness(0, cold_ms=2_000)
         self.listed: dict[str, Readiness] = {}
         self.out: set[str] = set()
         self.open: list[tuple[int, int, str]] = []
@@ -148,28 +150,28 @@
     @rule(names=st.dictionaries(names, st.sampled_from([Readiness.READY, Readiness.DRAINING])))
     def whole(self, names: dict[str, Readiness]) -> None:
         self.listed = dict(names)
-        self.note(self.desk.show(*(Member(n, r) for n, r in names.items())))  # type: ignore[arg-type]
+        self.note(self.harness.update_list(*(Member(n, r) for n, r in names.items())))  # type: ignore[arg-type]
 
     @rule(name=names, readiness=st.sampled_from(Readiness), started=st.booleans())
     def change(self, name: str, readiness: Readiness, started: bool) -> None:
         self.listed[name] = readiness
-        member = Member(name, readiness, up_since_ms=self.desk.now if started else 0.0)
-        self.note(self.desk.show(member, kind=ListKind.CHANGES))  # type: ignore[arg-type]
+        member = Member(name, readiness, up_since_ms=self.harness.now if started else 0.0)
+        self.note(self.harness.update_list(member, kind=ListKind.CHANGES))  # type: ignore[arg-type]
 
     @rule(name=names)
     def detach(self, name: str) -> None:
         self.out.add(name)
-        self.note(self.desk.tell(Detached(name)))  # type: ignore[arg-type]
+        self.note(self.harness.deliver(Detached(name)))  # type: ignore[arg-type]
 
     @rule(name=names)
     def attach(self, name: str) -> None:
         self.out.discard(name)
-        self.note(self.desk.tell(Attached(name, self.desk.now)))  # type: ignore[arg-type]
+        self.note(self.harness.deliver(Attached(name, self.harness.now)))  # type: ignore[arg-type]
 
     @rule()
     def ask(self) -> None:
-        self.desk.now += 20
-        self.note(self.desk.ask(READ)[1])  # type: ignore[arg-type]
+        self.harness.now += 20
+        self.note(self.harness.new_request(READ)[1])  # type: ignore[arg-type]
 
     @rule(
         outcome=st.sampled_from([Outcome.SERVED, Outcome.UNREACHED, Outcome.BROKEN]), which=st.integers(0, 9)
@@ -179,16 +181,16 @@
             return
         request, attempt, server = self.open.pop(which % len(self.open))
         self.ended.append((request, attempt, server))
-        self.desk.now += 5
-        self.note(self.desk.end(request, attempt, server, outcome))  # type: ignore[arg-type]
+        self.harness.now += 5
+        self.note(self.harness.end_attempt(request, attempt, server, outcome))  # type: ignore[arg-type]
 
     @rule(by=st.integers(1, 3_000))
     def wait(self, by: int) -> None:
-        self.desk.now += by
+        self.harness.now += by
 
     @invariant()
     def the_ready_are_those_listed_and_not_out(self) -> None:
-        ready = {s.member.server for s in self.desk.balancer._fleet.ready}
+        ready = {s.member.server for s in self.harness.balancer._fleet.ready}
         assert ready == {n for n, r in self.listed.items() if r is Readiness.READY} - self.out
 
     def teardown(self) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.helpers import READ, Desk, sent
+from tests.helpers import READ, BalancerHarness, sent
 from umberworks.interface import (
     Action,
     Event,
@@ -34,8 +34,8 @@
     """So many balancers, each with an even part of a thin stream of requests, one of them each `every` ms."""
 
     def __init__(self, every: float, balancers: int = BALANCERS, takes: float = TAKES_MS) -> None:
-        self.desks = [
-            Desk(
+        self.harnesses = [
+            BalancerHarness(
                 SERVERS,
                 seed,
                 balancers=balancers,
@@ -50,8 +50,8 @@
         self.now, self.every, self.takes, self.random = 1_000.0, every, takes, random.Random(5)
         self.since: dict[str, float] = {}
         self.calls: list[tuple[float, str]] = []
-        self.due: list[tuple[float, Desk, int, str]] = []
-        self.timers: list[tuple[float, Desk, str]] = []
+        self.due: list[tuple[float, BalancerHarness, int, str]] = []
+        self.timers: list[tuple[float, BalancerHarness, str]] = []
         self.served, self.refused = 0, 0
 
     def warmth(self, server: str) -> float:
@@ -63,16 +63,16 @@
         """Every server gives way to a new one."""
         fresh = [Member(f"n{self.now:.0f}-{i}", up_since_ms=self.now) for i in range(SERVERS)]
         self.since = {m.server: self.now for m in fresh}
-        for desk in self.desks:
-            self.take(desk, desk.show(*fresh, kind=ListKind.WHOLE))
+        for harness in self.harnesses:
+            self.take(harness, harness.update_list(*fresh, kind=ListKind.WHOLE))
 
-    def take(self, desk: Desk, actions: list) -> None:  # type: ignore[type-arg]
+    def take(self, harness: BalancerHarness, actions: list) -> None:  # type: ignore[type-arg]
         for send in sent(actions):
             self.calls.append((self.now, send.server))
             ends = self.now + self.takes / self.warmth(send.server)
-            self.due.append((ends, desk, send.request, send.server))
+            self.due.append((ends, harness, send.request, send.server))
         self.refused += sum(isinstance(a, Refuse) for a in actions)
-        self.timers += [(a.at_ms, desk, a.token) for a in actions if isinstance(a, SetTimer)]
+        self.timers += [(a.at_ms, harness, a.token) for a in actions if isinstance(a, SetTimer)]
 
     def windows(self) -> Iterator[tuple[int, float]]:
         """For each call to a new server: how many came in the window up to it, and how many it can be sent in one."""
@@ -87,18 +87,18 @@
         end = self.now + ms
         while self.now < end:
             self.now += 2.0
-            for desk in self.desks:
-                desk.now = self.now
+            for harness in self.harnesses:
+                harness.now = self.now
             for entry in [d for d in self.due if d[0] <= self.now]:
                 self.due.remove(entry)
                 self.served += 1
-                self.take(entry[1], entry[1].end(entry[2], 0, entry[3], Outcome.SERVED))
+                self.take(entry[1], entry[1].end_attempt(entry[2], 0, entry[3], Outcome.SERVED))
             for timer in [t for t in self.timers if t[0] <= self.now]:
                 self.timers.remove(timer)
-                self.take(timer[1], timer[1].tell(TimerDue(timer[2])))
+                self.take(timer[1], timer[1].deliver(TimerDue(timer[2])))
             if self.random.random() < 2.0 / self.every:
-                desk = self.random.choice(self.desks)
-                self.take(desk, desk.ask(READ)[1])
+                harness = self.random.choice(self.harnesses)
+                self.take(harness, harness.new_request(READ)[1])
 
 
 def test_a_fleet_that_is_all_new_serves_what_it_can_and_is_not_pushed_over() -> None:
@@ -132,13 +132,15 @@
 def test_a_new_server_is_drawn_by_what_its_kind_has_shown() -> None:
     fast = 0
     for seed in range(6):
-        desk = Desk(0, seed, balancers=40, calling_tier=1, cold_ms=0.0)
+        harness = BalancerHarness(0, seed, balancers=40, calling_tier=1, cold_ms=0.0)
         takes = {f"{kind}{i}": ms for kind, ms in (("fast", 20.0), ("slow", 80.0)) for i in range(8)}
-        desk.show(*(Member(name, kind=name[:4]) for name in takes))
+        harness.update_list(*(Member(name, kind=name[:4]) for name in takes))
         for _ in range(400):
-            desk.serve(takes=takes)
-        desk.show(*(Member(f"{name[:4]}-new{name[4:]}", kind=name[:4]) for name in takes))
-        got = [sent(desk.ask()[1])[0].server for _ in range(8)]  # none has served yet: only their kinds tell
+            harness.serve_request(takes=takes)
+        harness.update_list(*(Member(f"{name[:4]}-new{name[4:]}", kind=name[:4]) for name in takes))
+        got = [
+            sent(harness.new_request()[1])[0].server for _ in range(8)
+        ]  # none has served yet: only their kinds tell
         fast += sum(name.startswith("fast") for name in got)
     assert fast >= 38, f"{fast} of 48 calls went to servers of the fast kind"
 
@@ -148,13 +150,13 @@
 
     TURN_MS, TIMEOUT_MS = 25.0, 2_000.0
 
-    def __init__(self, desks: list[Desk], now: float) -> None:
-        self.desks, self.now, self.free_at = desks, now, now
+    def __init__(self, harnesses: list[BalancerHarness], now: float) -> None:
+        self.harnesses, self.now, self.free_at = harnesses, now, now
         self.due: list[tuple[float, int, Event]] = []
         self.told: set[int] = set()
         self.failed = 0
-        for i, desk in enumerate(desks):
-            self.take(i, desk.log)
+        for i, harness in enumerate(harnesses):
+            self.take(i, harness.all_actions)
 
     def take(self, i: int, actions: list[Action]) -> None:
         for action in actions:
@@ -177,15 +179,15 @@
                 self.failed += event.kind is ListKind.FAILED
                 if event.kind is not ListKind.FAILED:
                     self.told.add(i)
-            self.desks[i].now = self.now
-            self.take(i, self.desks[i].tell(event))
+            self.harnesses[i].now = self.now
+            self.take(i, self.harnesses[i].deliver(event))
         self.now = end
 
 
 def test_many_balancers_that_start_at_once_all_get_the_list() -> None:
     # In step, all but the first 80 calls wait too long, and those that repeat them keep the line that long for good.
-    desks = [Desk(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
-    queue = Queue(desks, 1_000.0)
+    harnesses = [BalancerHarness(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
+    queue = Queue(harnesses, 1_000.0)
     queue.run(12_000.0)
     assert len(queue.told) == 200
     assert queue.failed < 100
@@ -197,29 +199,29 @@
     ids=["their watches end", "they are moved"],
 )
 def test_many_balancers_that_lose_the_list_together_ask_again_spread(event: Event, within: float) -> None:
-    desks = [Desk(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
-    queue = Queue(desks, 1_000.0)
+    harnesses = [BalancerHarness(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
+    queue = Queue(harnesses, 1_000.0)
     queue.run(12_000.0)
     queue.told.clear()
     queue.failed = 0
-    for i, desk in enumerate(desks):
-        desk.now = queue.now
-        queue.take(i, desk.tell(event))
+    for i, harness in enumerate(harnesses):
+        harness.now = queue.now
+        queue.take(i, harness.deliver(event))
     queue.run(within)
     assert len(queue.told) == 200
     assert queue.failed < 100
 
 
 def test_few_balancers_ask_at_once() -> None:
-    desk = Desk(4, balancers=7, list_is_asked=True)
-    assert Subscribe() in desk.log
-    assert Subscribe() in desk.tell(ListMoved())
+    harness = BalancerHarness(4, balancers=7, list_is_asked=True)
+    assert Subscribe() in harness.all_actions
+    assert Subscribe() in harness.deliver(ListMoved())
 
 
 def test_no_pause_lasts_until_a_balancer_counts_as_told() -> None:
     for seed in range(50):
-        desk = Desk(4, seed, balancers=1_000, list_is_asked=True, ask_within_ms=10_000)
+        harness = BalancerHarness(4, seed, balancers=1_000, list_is_asked=True, ask_within_ms=10_000)
         for _ in range(12):
-            for action in desk.tell(ListUpdate(ListKind.FAILED)):
+            for action in harness.deliver(ListUpdate(ListKind.FAILED)):
                 # A change counts as told 6 s after discovery had it, of which its answer may take 1.5 s.
-                assert not isinstance(action, SetTimer) or action.at_ms - desk.now + 1_500 <= 6_000
+                assert not isinstance(action, SetTimer) or action.at_ms - harness.now + 1_500 <= 6_000
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -13,7 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests import plain
-from tests.helpers import ANYWHERE, PAY, READ, Desk, sent, warm
+from tests.helpers import ANYWHERE, PAY, READ, BalancerHarness, always_warm, sent
 from umberworks.interface import ListKind, Member, Outcome, Readiness, RequestArrived
 from umberworks.requests import Attempt, Request
 from umberworks.rules import FEW, WALK, Balancer
@@ -22,21 +22,21 @@
 PICKS = 30_000
 
 
-def taught(count: int, spread: float, seed: int, calls: int = 3_000, **changes: Any) -> Desk:
-    """A desk whose servers differ by up to `spread` in what they can, and that has served so many calls."""
-    desk, chance = Desk(count, seed=seed, balancers=1, **changes), random.Random(seed)
+def taught(count: int, spread: float, seed: int, calls: int = 3_000, **changes: Any) -> BalancerHarness:
+    """A harness whose servers differ by up to `spread` in what they can, and that has served so many calls."""
+    harness, chance = BalancerHarness(count, seed=seed, balancers=1, **changes), random.Random(seed)
     speed = {f"s{i}": spread ** chance.random() for i in range(count)}
     out: list[tuple[float, int, str]] = []
     for _ in range(calls):
-        request, actions = desk.ask(READ)
+        request, actions = harness.new_request(READ)
         for action in sent(actions):
-            out.append((desk.now + 5.0 * speed[action.server], request, action.server))
-        desk.now += 1.0
+            out.append((harness.now + 5.0 * speed[action.server], request, action.server))
+        harness.now += 1.0
         out.sort()
-        while out and out[0][0] <= desk.now:
+        while out and out[0][0] <= harness.now:
             _, number, server = out.pop(0)
-            desk.end(number, 0, server, Outcome.SERVED)
-    return desk
+            harness.end_attempt(number, 0, server, Outcome.SERVED)
+    return harness
 
 
 def request(cls: Any = READ, *tried: tuple[Server, bool], now: float = 0.0) -> Request:
@@ -83,56 +83,58 @@
     [(12, 30.0, 13), (40, 1.0, 1), (40, 1_000.0, 2), (200, 10.0, 3), (1_000, 1_000.0, 4)],
 )
 def test_picks_are_those_of_the_walk_in_distribution(count: int, spread: float, seed: int) -> None:
-    desk = taught(count, spread, seed)
-    assert desk.balancer._fleet.keeps > FEW
-    same(desk.balancer, request(), desk.now, PICKS if count < 100 else PICKS // 4)
-    desk.now += 4_000  # evidence has faded, nobody has been touched since
-    same(desk.balancer, request(), desk.now, PICKS // 8)
+    harness = taught(count, spread, seed)
+    assert harness.balancer._fleet.keeps > FEW
+    same(harness.balancer, request(), harness.now, PICKS if count < 100 else PICKS // 4)
+    harness.now += 4_000  # evidence has faded, nobody has been touched since
+    same(harness.balancer, request(), harness.now, PICKS // 8)
 
 
 def test_picks_by_size_are_those_of_the_walk() -> None:
-    desk = taught(60, 5.0, 5, sizes_exact=True)
+    harness = taught(60, 5.0, 5, sizes_exact=True)
     chance = random.Random(1)
-    desk.show(*(Member(f"s{i}", size=chance.choice([0.3, 1.0, 4.0, 5.5])) for i in range(60)))
-    assert not desk.balancer._sliver
-    same(desk.balancer, request(), desk.now)
+    harness.update_list(*(Member(f"s{i}", size=chance.choice([0.3, 1.0, 4.0, 5.5])) for i in range(60)))
+    assert not harness.balancer._sliver
+    same(harness.balancer, request(), harness.now)
 
 
 def test_what_was_tried_is_left_out_as_by_the_walk() -> None:
-    desk = taught(80, 20.0, 6)
-    loaded = sorted(desk.balancer._servers.values(), key=lambda s: -s.served)
-    asked = request(READ, *((s, True) for s in loaded[:3]), now=desk.now)
-    same(desk.balancer, asked, desk.now)
-    picked = {desk.balancer._pick(asked, desk.now) for _ in range(2_000)}
+    harness = taught(80, 20.0, 6)
+    loaded = sorted(harness.balancer._servers.values(), key=lambda s: -s.served)
+    asked = request(READ, *((s, True) for s in loaded[:3]), now=harness.now)
+    same(harness.balancer, asked, harness.now)
+    picked = {harness.balancer._pick(asked, harness.now) for _ in range(2_000)}
     assert not picked & set(loaded[:3])
 
 
 def test_a_keyed_repeat_is_drawn_from_all_that_drop_repeats_as_by_the_walk() -> None:
-    desk = taught(80, 20.0, 7)
-    server = desk.balancer._fleet.ready[0]
-    fresh = [Member(f"s{i}", up_since_ms=desk.now + 1) for i in range(0, 80, 2)]
-    asked = request(ANYWHERE, (server, True), now=desk.now)
-    desk.show(*fresh, kind=ListKind.CHANGES)
-    desk.now += 30_000 if ANYWHERE.repeat_window_ms > 31_000 else 50
-    same(desk.balancer, asked, desk.now, 4_000)
-    assert desk.balancer._pick(request(PAY, (server, True), now=desk.now), desk.now) is None
+    harness = taught(80, 20.0, 7)
+    server = harness.balancer._fleet.ready[0]
+    fresh = [Member(f"s{i}", up_since_ms=harness.now + 1) for i in range(0, 80, 2)]
+    asked = request(ANYWHERE, (server, True), now=harness.now)
+    harness.update_list(*fresh, kind=ListKind.CHANGES)
+    harness.now += 30_000 if ANYWHERE.repeat_window_ms > 31_000 else 50
+    same(harness.balancer, asked, harness.now, 4_000)
+    assert harness.balancer._pick(request(PAY, (server, True), now=harness.now), harness.now) is None
 
 
 def test_among_cold_servers_the_warm_are_drawn_as_by_the_walk() -> None:
-    desk = taught(100, 3.0, 8)
-    desk.show(*(Member(f"s{i}", up_since_ms=desk.now - 100.0 * i) for i in range(100)), kind=ListKind.CHANGES)
-    for server in desk.balancer._servers.values():
-        server.last_sent = desk.now - 1 if server.rank < 0.5 else -math.inf
-    same(desk.balancer, request(), desk.now, 4_000)
+    harness = taught(100, 3.0, 8)
+    harness.update_list(
+        *(Member(f"s{i}", up_since_ms=harness.now - 100.0 * i) for i in range(100)), kind=ListKind.CHANGES
+    )
+    for server in harness.balancer._servers.values():
+        server.last_sent = harness.now - 1 if server.rank < 0.5 else -math.inf
+    same(harness.balancer, request(), harness.now, 4_000)
 
 
 @pytest.mark.parametrize("able", [0, 1, 3])
 def test_the_few_that_are_able_are_found_among_many(able: int) -> None:
-    desk = taught(400, 2.0, 9, calls=2_500)
-    kept = desk.balancer._fleet.ready[: desk.balancer._fleet.keeps]
+    harness = taught(400, 2.0, 9, calls=2_500)
+    kept = harness.balancer._fleet.ready[: harness.balancer._fleet.keeps]
     assert len(kept) > TRIALS
-    asked = request(READ, *((s, True) for s in kept[able:]), now=desk.now)
-    found = {desk.balancer._pick(asked, desk.now) for _ in range(300)}
+    asked = request(READ, *((s, True) for s in kept[able:]), now=harness.now)
+    found = {harness.balancer._pick(asked, harness.now) for _ in range(300)}
     # where all were tried, any may be again
     assert found == set(kept[:able]) if able else found <= set(kept) and len(found) > 50
 
@@ -140,37 +142,37 @@
 def test_where_all_are_cold_and_full_none_is_picked_and_the_look_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    desk = taught(3_000, 1.0, 10, calls=4_000)
-    balancer = desk.balancer
-    balancer._fleet.keep(3_000, 1.0, desk.now)
+    harness = taught(3_000, 1.0, 10, calls=4_000)
+    balancer = harness.balancer
+    balancer._fleet.keep(3_000, 1.0, harness.now)
     monkeypatch.setattr(balancer, "_choose", lambda: None)
     looked = Counter[str]()
     monkeypatch.setattr(
         balancer._slow_start, "has_room", lambda server, now: looked.update([server.member.server])
     )
     balancer._slow_start.until = math.inf
-    assert balancer._pick(request(), desk.now) is None
+    assert balancer._pick(request(), harness.now) is None
     assert looked.total() <= TRIALS + WALK
 
 
 def test_a_list_of_ten_thousand_that_flaps_keeps_the_fleet_whole() -> None:
-    desk = Desk(0)
+    harness = BalancerHarness(0)
     chance = random.Random(11)
     for _ in range(4):
         names = chance.sample(range(10_000), 5_000)
-        desk.show(*(Member(f"s{i}") for i in names))
-        fleet = desk.balancer._fleet
+        harness.update_list(*(Member(f"s{i}") for i in names))
+        fleet = harness.balancer._fleet
         assert {s.member.server for s in fleet.ready} == {f"s{i}" for i in names}
         assert {id(s) for s in fleet.kept} == {id(s) for s in fleet.ready[: fleet.keeps]}
         assert len(fleet.ready) == 5_000 and all(s.bucket is None for s in fleet.ready[fleet.keeps :])
-        assert len(desk.balancer._servers) == 5_000
+        assert len(harness.balancer._servers) == 5_000
 
 
 def test_idle_for_hours_then_a_burst() -> None:
-    desk = taught(100, 10.0, 12)
-    desk.now += 5 * 3_600_000.0
-    picked = Counter(a.server for _ in range(200) for a in sent(desk.ask(READ)[1]))
-    assert len(picked) >= 10 and all(math.isfinite(s.busy) for s in desk.balancer._servers.values())
+    harness = taught(100, 10.0, 12)
+    harness.now += 5 * 3_600_000.0
+    picked = Counter(a.server for _ in range(200) for a in sent(harness.new_request(READ)[1]))
+    assert len(picked) >= 10 and all(math.isfinite(s.busy) for s in harness.balancer._servers.values())
 
 
 # ---- properties
@@ -192,7 +194,7 @@
 
     @rule(rank=st.floats(0, 1, exclude_max=True), size=st.sampled_from([1.0, 0.2, 3.0, 8.0]))
     def enters(self, rank: float, size: float) -> None:
-        server = Server(Member("s", readiness=Readiness.READY), self.now, rank, warm)
+        server = Server(Member("s", readiness=Readiness.READY), self.now, rank, always_warm)
         server.size = size
         self.fleet.enter(server, self.usual, self.now)
 
@@ -268,7 +270,7 @@
 def test_a_table_s_last_sum_is_at_least_all_capacities(rates: list[float], usual: float) -> None:
     draws, whole = Draws(), 0.0
     for rate in rates:
-        server = Server(Member("s"), 0.0, 0.5, warm)
+        server = Server(Member("s"), 0.0, 0.5, always_warm)
         server.served, server.busy = 10.0, 10.0 / rate
         draws.put(server, usual)
         whole += server.capacity(usual, 0.0)
@@ -278,7 +280,7 @@
 
 @given(st.lists(st.floats(0.01, 3_000), min_size=1, max_size=30), st.integers(0, 5))
 def test_evidence_brought_up_at_once_is_that_of_many_steps(gaps: list[float], out: int) -> None:
-    at_once, stepwise = Server(Member("s"), 0.0, 0.5, warm), Server(Member("s"), 0.0, 0.5, warm)
+    at_once, stepwise = Server(Member("s"), 0.0, 0.5, always_warm), Server(Member("s"), 0.0, 0.5, always_warm)
     now = 0.0
     for server in (at_once, stepwise):
         server.served, server.busy, server.in_flight = 7.0, 90.0, out
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -17,7 +17,7 @@
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import listen
-from tests.helpers import Desk
+from tests.helpers import BalancerHarness
 from tests.loopback import listing, member
 from tests.virtual import simulated
 from umberworks.interface import ListKind, ListMoved, ListUpdate, Readiness, SetTimer, Subscribe, TimerDue
@@ -114,8 +114,8 @@
         self.planned = 0  # timers that will ask
         self.heard: list[tuple[float, ListUpdate]] = []
         self.discovery = Discovery(PLACES[0], None, pushed, 10.0, loop.time)
-        self.desk = Desk(2, seed, list_is_asked=not pushed, balancers=balancers)
-        self.carry_out(self.desk.log)
+        self.harness = BalancerHarness(2, seed, list_is_asked=not pushed, balancers=balancers)
+        self.carry_out(self.harness.all_actions)
         self.discovery.start(self.listed)
 
     def listed(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
@@ -123,8 +123,8 @@
         self.tell(update)
 
     def tell(self, event: Any) -> None:
-        self.desk.now = 1_000.0 + self.loop.time() * 1000
-        self.carry_out(self.desk.tell(event))
+        self.harness.now = 1_000.0 + self.loop.time() * 1000
+        self.carry_out(self.harness.deliver(event))
 
     def carry_out(self, actions: list[Any]) -> None:
         for action in actions:
@@ -132,7 +132,7 @@
                 self.discovery.subscribe()
             elif isinstance(action, SetTimer) and action.token == "list":
                 self.planned += 1
-                self.loop.call_later(max(action.at_ms - self.desk.now, 0.0) / 1000, self.due)
+                self.loop.call_later(max(action.at_ms - self.harness.now, 0.0) / 1000, self.due)
 
     def due(self) -> None:
         self.planned -= 1
