--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -166,7 +166,7 @@
         elif request is not None and request.started is not None and not self._lasting:
             self._guard(number, request, remaining)  # its answer began before
 
-    def told(self, event: face.Detached | face.Attached | face.Inherited | face.ListMoved) -> None:
+    def told(self, event: face.Detached | face.Attached | face.Inherited | face.DiscoveryMoved) -> None:
         """An operator's word on a server, what an older version has learned, or that the list has moved."""
         self._post(event)
 
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -11,7 +11,7 @@
 from passpost.engine import Engine
 from passpost.host import HOST, Host
 from passpost.upstreams.pool import Upstreams
-from umberworks.interface import ListMoved
+from umberworks.interface import DiscoveryMoved
 from umberworks.rules import Balancer
 
 log = logging.getLogger("passpost")
@@ -77,7 +77,7 @@
             log.warning("configuration: a change of %s waits for a restart", ", ".join(later))
         self._config = config
         if self.discovery.move(config.discovery):
-            self.engine.told(ListMoved())
+            self.engine.told(DiscoveryMoved())
 
     def reload_failed(self) -> None:
         """A configuration could not be used; for nodes that count."""
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -22,9 +22,9 @@
 from umberworks.asking import Asking
 from umberworks.interface import (
     Action,
+    DiscoveryMoved,
     Event,
     ListKind,
-    ListMoved,
     ListUpdate,
     Member,
     Readiness,
@@ -176,10 +176,10 @@
             case "move" | "two moves":
                 # Until the new place is asked the old one is watched: what ends at the worst ends at once.
                 judge.asked, judge.counted, judge.times = False, judge.now, 1
-                judge.tell(ListMoved())
+                judge.tell(DiscoveryMoved())
                 if step == "two moves":
                     judge.now += share * min([d - judge.now for d in judge.due] or [0.0])
-                    judge.tell(ListMoved())
+                    judge.tell(DiscoveryMoved())
                 judge.wait_for_the_call()
                 continue
         judge.wait_for_the_call()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,9 +13,9 @@
 from tests.helpers import READ, BalancerHarness, sent
 from umberworks.interface import (
     Action,
+    DiscoveryMoved,
     Event,
     ListKind,
-    ListMoved,
     ListUpdate,
     Member,
     Outcome,
@@ -195,7 +195,7 @@
 
 @pytest.mark.parametrize(
     ("event", "within"),
-    [(ListUpdate(ListKind.FAILED), 20_000.0), (ListMoved(), 12_000.0)],
+    [(ListUpdate(ListKind.FAILED), 20_000.0), (DiscoveryMoved(), 12_000.0)],
     ids=["their watches end", "they are moved"],
 )
 def test_many_balancers_that_lose_the_list_together_ask_again_spread(event: Event, within: float) -> None:
@@ -215,7 +215,7 @@
 def test_few_balancers_ask_at_once() -> None:
     harness = BalancerHarness(4, balancers=7, list_is_asked=True)
     assert Subscribe() in harness.all_actions
-    assert Subscribe() in harness.deliver(ListMoved())
+    assert Subscribe() in harness.deliver(DiscoveryMoved())
 
 
 def test_no_pause_lasts_until_a_balancer_counts_as_told() -> None:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -20,7 +20,15 @@
 from tests.helpers import BalancerHarness
 from tests.loopback import listing, member
 from tests.virtual import simulated
-from umberworks.interface import ListKind, ListMoved, ListUpdate, Readiness, SetTimer, Subscribe, TimerDue
+from umberworks.interface import (
+    DiscoveryMoved,
+    ListKind,
+    ListUpdate,
+    Readiness,
+    SetTimer,
+    Subscribe,
+    TimerDue,
+)
 
 PLACES = (("10.0.0.1", 8500), ("10.0.0.2", 8500))
 GRACE_S = 1.05  # of a drain, with the protocol's slack
@@ -140,7 +148,7 @@
 
     def move(self, place: Address) -> None:
         if self.discovery.move(place):
-            self.tell(ListMoved())
+            self.tell(DiscoveryMoved())
 
     def is_alive(self) -> bool:
         """Whether a call is out or planned."""
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -189,7 +189,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListMoved:
+class DiscoveryMoved:
     """The list is to be asked for elsewhere from now on; whatever was asked before is of no more use."""
 
 
@@ -309,7 +309,7 @@
     | RequestArrived
     | BodyEnded
     | BodySpent
-    | ListMoved
+    | DiscoveryMoved
     | AnswerStarted
     | AttemptEnded
     | ClientLeft
