--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -146,7 +146,7 @@
         if not is_open:
             self._guard(number, request, remaining)
         if upload is not None:
-            upload.on_spent = lambda: self._post(face.BodySpent(number))
+            upload.on_spent = lambda: self._post(face.BodyDiscarded(number))
         self._post(
             face.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
         )
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -11,8 +11,8 @@
 from tests.helpers import ORDER, PAY, READ, BalancerHarness, of_kind, sent
 from umberworks.interface import (
     AnswerStarted,
+    BodyDiscarded,
     BodyEnded,
-    BodySpent,
     Cancel,
     ClientLeft,
     Fail,
@@ -56,7 +56,7 @@
 def test_a_spent_body_is_not_sent_again_and_is_refused_where_it_never_ran(cls: RequestClass) -> None:
     harness = BalancerHarness(4)
     request, actions = harness.new_request(cls, body_open=True)
-    harness.deliver(BodySpent(request))
+    harness.deliver(BodyDiscarded(request))
     ended = harness.end_attempt(request, 0, sent(actions)[0].server, Outcome.UNREACHED)
     assert not sent(ended) and len(of_kind(ended, Refuse)) == 1
 
@@ -65,7 +65,7 @@
 def test_a_spent_body_that_may_have_run_has_failed(cls: RequestClass) -> None:
     harness = BalancerHarness(4)
     request, actions = harness.new_request(cls, body_open=True)
-    harness.deliver(BodySpent(request))
+    harness.deliver(BodyDiscarded(request))
     harness.deliver(BodyEnded(request, 2_500))
     ended = harness.end_attempt(request, 0, sent(actions)[0].server, Outcome.BROKEN)
     assert not sent(ended) and of_kind(ended, Fail) == [Fail(request)]
@@ -84,7 +84,7 @@
         harness.serve_request()
     request, _ = harness.new_request(READ, body_open=True)
     assert not [t for t in harness.all_actions if getattr(t, "token", "") == f"copy:{request}"]
-    harness.deliver(BodySpent(request))
+    harness.deliver(BodyDiscarded(request))
     harness.deliver(BodyEnded(request, 3_000))
     harness.now += 900
     assert not sent(harness.deliver(TimerDue(f"copy:{request}")))
@@ -154,7 +154,7 @@
             note(list(harness.deliver(BodyEnded(request, 2_000))))
         elif what == "spent" and out and not began:
             spent = True
-            note(list(harness.deliver(BodySpent(request))))
+            note(list(harness.deliver(BodyDiscarded(request))))
         elif what == "began" and out and not (began or over):
             began = True
             note(list(harness.deliver(AnswerStarted(request, min(out)))))
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -218,7 +218,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BodySpent:
+class BodyDiscarded:
     """Part of a body has gone out and is kept nowhere: the request can't be sent again."""
 
     request: int
@@ -308,7 +308,7 @@
     ListUpdate
     | RequestArrived
     | BodyEnded
-    | BodySpent
+    | BodyDiscarded
     | DiscoveryMoved
     | AnswerStarted
     | AttemptEnded
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -101,7 +101,7 @@
             case face.Inherited():
                 self._heritage.take(event, self._room)
                 self._draw_anew(self._heritage.give)
-            case face.BodySpent():
+            case face.BodyDiscarded():
                 if (request := self._requests.get(event.request)) is not None:
                     request.spent = True
         self._pump(now)
