--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -326,7 +326,7 @@
         request.started = request.attempts[index]
         self._finish(number, request)
         sink = request.caller.begin(answer, length, source)
-        self._post(face.AnswerStarted(number, index))
+        self._post(face.ResponseStarted(number, index))
         return sink
 
     def _ended(
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -10,7 +10,6 @@
 
 from tests.helpers import ORDER, PAY, READ, BalancerHarness, of_kind, sent
 from umberworks.interface import (
-    AnswerStarted,
     BodyDiscarded,
     BodyEnded,
     Cancel,
@@ -20,6 +19,7 @@
     Outcome,
     Refuse,
     RequestClass,
+    ResponseStarted,
     Send,
     TimerDue,
 )
@@ -99,7 +99,7 @@
     harness.now += 900  # silent for long: a copy goes out
     copies = sent(harness.deliver(TimerDue(f"copy:{request}")))
     assert len(copies) == 1
-    began = harness.deliver(AnswerStarted(request, 1))
+    began = harness.deliver(ResponseStarted(request, 1))
     assert of_kind(began, Cancel) == [Cancel(request, 0)]
     assert harness.balancer._servers[copies[0].server].in_flight == 0
     harness.end_attempt(request, 0, first, Outcome.CANCELLED)
@@ -114,7 +114,7 @@
 def test_one_that_breaks_after_it_has_begun_is_over() -> None:
     harness = BalancerHarness(2)
     request, actions = harness.new_request(READ)
-    harness.deliver(AnswerStarted(request, 0))
+    harness.deliver(ResponseStarted(request, 0))
     ended = harness.end_attempt(request, 0, sent(actions)[0].server, Outcome.BROKEN)
     assert not of_kind(ended, Send, Refuse, Fail) and not harness.balancer._requests
 
@@ -157,7 +157,7 @@
             note(list(harness.deliver(BodyDiscarded(request))))
         elif what == "began" and out and not (began or over):
             began = True
-            note(list(harness.deliver(AnswerStarted(request, min(out)))))
+            note(list(harness.deliver(ResponseStarted(request, min(out)))))
         elif what == "left" and not (over or began):
             over = True
             note(list(harness.deliver(ClientLeft(request))))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,6 @@
 
 from tests.helpers import ANYWHERE, ORDER, PAY, READ, BalancerHarness, members, of_kind, sent, settings
 from umberworks.interface import (
-    AnswerStarted,
     AttemptEnded,
     ClientLeft,
     Effect,
@@ -22,6 +21,7 @@
     Refuse,
     RequestArrived,
     RequestClass,
+    ResponseStarted,
     Send,
     SetTimer,
     Settings,
@@ -163,7 +163,7 @@
     with pytest.raises(ValueError, match="never made"):
         harness.deliver(AttemptEnded(99, 0, "s0", Outcome.SERVED))
     with pytest.raises(ValueError, match="never made"):
-        harness.deliver(AnswerStarted(99, 0))
+        harness.deliver(ResponseStarted(99, 0))
     request, _ = harness.new_request()
     for attempt in (-1, 1):
         with pytest.raises(ValueError, match="never made"):
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -225,7 +225,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerStarted:
+class ResponseStarted:
     """An attempt's answer is on its way to the client: nothing else can be it, and the deadline no longer runs."""
 
     request: int
@@ -310,7 +310,7 @@
     | BodyEnded
     | BodyDiscarded
     | DiscoveryMoved
-    | AnswerStarted
+    | ResponseStarted
     | AttemptEnded
     | ClientLeft
     | TimerDue
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -94,7 +94,7 @@
                     self._is_fit(server, False)
             case face.Attached():
                 self._attached(event, now)
-            case face.AnswerStarted():
+            case face.ResponseStarted():
                 self._answer_started(event, now)
             case face.BodyEnded():
                 self._body_ended(event, now)
@@ -281,7 +281,7 @@
             self._actions.append(face.SetTimer(now + patience, f"copy:{request.id}"))
         return True
 
-    def _made(self, event: face.AttemptEnded | face.AnswerStarted) -> tuple[Request, Attempt]:
+    def _made(self, event: face.AttemptEnded | face.ResponseStarted) -> tuple[Request, Attempt]:
         request = self._requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             raise ValueError(f"attempt {event.attempt} of request {event.request} was never made")
@@ -300,7 +300,7 @@
             self._give_up(request)
         self._drop_if_over(request)
 
-    def _answer_started(self, event: face.AnswerStarted, now: float) -> None:
+    def _answer_started(self, event: face.ResponseStarted, now: float) -> None:
         """Its server has done its work, unless the class is a stream; other answers are of no use."""
         request, attempt = self._made(event)
         self._cancel_rest(request, attempt)
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -10,7 +10,6 @@
 
 from umberworks.interface import (
     Action,
-    AnswerStarted,
     AttemptEnded,
     Cancel,
     ClientLeft,
@@ -28,6 +27,7 @@
     RepeatGroup,
     RequestArrived,
     RequestClass,
+    ResponseStarted,
     Send,
     SetTimer,
     Settings,
@@ -252,7 +252,7 @@
         case "client_gone":
             return ClientLeft(whole(fields, "corr"))
         case "established":
-            return AnswerStarted(whole(fields, "corr"), whole(fields, "shot"))
+            return ResponseStarted(whole(fields, "corr"), whole(fields, "shot"))
         case "membership":
             kind = _word(_LIST_KINDS, fields, "mode")
             return ListNews(kind, None if kind is ListKind.FAILED else whole(fields, "list"))
