--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -185,7 +185,7 @@
         if request.started is not None:
             request.started.cancel()
         elif self._finish(number, request):
-            self._post(face.ClientLeft(number))
+            self._post(face.ClientDisconnected(number))
 
     def _overdue(self, number: int) -> None:
         """The module owes an answer in time; should it ever miss one, the caller still gets it.
@@ -209,7 +209,7 @@
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.caller.fail(status)
-            self._post(face.ClientLeft(number))
+            self._post(face.ClientDisconnected(number))
 
     # ---- the module
 
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -13,7 +13,7 @@
     BodyDiscarded,
     BodyEnded,
     Cancel,
-    ClientLeft,
+    ClientDisconnected,
     Fail,
     Limit,
     Outcome,
@@ -160,7 +160,7 @@
             note(list(harness.deliver(ResponseStarted(request, min(out)))))
         elif what == "left" and not (over or began):
             over = True
-            note(list(harness.deliver(ClientLeft(request))))
+            note(list(harness.deliver(ClientDisconnected(request))))
         elif isinstance(what, Outcome) and out:
             index = min(out)
             server = out.pop(index)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -16,7 +16,7 @@
     Action,
     AttemptEnded,
     Cancel,
-    ClientLeft,
+    ClientDisconnected,
     Effect,
     Event,
     Fail,
@@ -214,7 +214,7 @@
                 self.finish(case, "served")
             answered = case.final is not None or case.gone
             event = AttemptEnded(event.request, event.attempt, event.server, event.outcome, answered)
-        if isinstance(event, ClientLeft):
+        if isinstance(event, ClientDisconnected):
             case = self.cases[event.request]
             if case.final is not None:
                 return
@@ -271,7 +271,7 @@
                 self.cases[number] = Case(cls, self.now + left)
                 self.tell(RequestArrived(number, cls.name, left))
                 if self.random.random() < 0.05:
-                    self.push(self.now + self.random.random() * left, ClientLeft(number))
+                    self.push(self.now + self.random.random() * left, ClientDisconnected(number))
 
     def check_overdue(self) -> None:
         for number, case in self.cases.items():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,7 +9,7 @@
 from tests.helpers import ANYWHERE, ORDER, PAY, READ, BalancerHarness, members, of_kind, sent, settings
 from umberworks.interface import (
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
     Effect,
     Fail,
     ListKind,
@@ -61,7 +61,7 @@
     asked = [(request, sent(actions)) for request, actions in (harness.new_request() for _ in range(count))]
     for request, sends in asked:
         if not sends:
-            harness.deliver(ClientLeft(request))
+            harness.deliver(ClientDisconnected(request))
     harness.now += takes
     for request, sends in asked:
         if sends:
@@ -158,7 +158,7 @@
 
 def test_late_and_odd_events_are_ignored_and_impossible_ones_raise() -> None:
     harness = BalancerHarness(2)
-    assert harness.deliver(ClientLeft(99)) == []
+    assert harness.deliver(ClientDisconnected(99)) == []
     assert harness.deliver(TimerDue("wait:99")) == []
     with pytest.raises(ValueError, match="never made"):
         harness.deliver(AttemptEnded(99, 0, "s0", Outcome.SERVED))
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -244,7 +244,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client has gone; nothing more is owed for the request."""
 
     request: int
@@ -312,7 +312,7 @@
     | DiscoveryMoved
     | ResponseStarted
     | AttemptEnded
-    | ClientLeft
+    | ClientDisconnected
     | TimerDue
     | Detached
     | Attached
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -86,7 +86,7 @@
                 self._due(event.token, now)
             case face.ListUpdate():
                 self._listed(event, now)
-            case face.ClientLeft():
+            case face.ClientDisconnected():
                 self._left(event.request)
             case face.Detached():
                 self._detached.add(event.server)
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -12,7 +12,7 @@
     Action,
     AttemptEnded,
     Cancel,
-    ClientLeft,
+    ClientDisconnected,
     Effect,
     Event,
     Fail,
@@ -250,7 +250,7 @@
         case "reminder":
             return TimerDue(need(fields, "ctx"))
         case "client_gone":
-            return ClientLeft(whole(fields, "corr"))
+            return ClientDisconnected(whole(fields, "corr"))
         case "established":
             return ResponseStarted(whole(fields, "corr"), whole(fields, "shot"))
         case "membership":
