--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -166,11 +166,11 @@
         elif request is not None and request.started is not None and not self._lasting:
             self._guard(number, request, remaining)  # its answer began before
 
-    def told(self, event: face.Detached | face.Attached | face.Inherited | face.DiscoveryMoved) -> None:
+    def told(self, event: face.Detached | face.Attached | face.LearnedState | face.DiscoveryMoved) -> None:
         """An operator's word on a server, what an older version has learned, or that the list has moved."""
         self._post(event)
 
-    def learned(self) -> face.Inherited:
+    def learned(self) -> face.LearnedState:
         """What a version that takes over from this one should know."""
         return self._balancer.learned(self.now())
 
--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -6,10 +6,10 @@
 import math
 from dataclasses import astuple
 
-from umberworks.interface import Inherited, Known
+from umberworks.interface import Known, LearnedState
 
 
-def write(learned: Inherited) -> bytes:
+def write(learned: LearnedState) -> bytes:
     """One line, without its end. A ceiling that does not bind is null, as JSON has no infinity."""
     servers = []
     for known in learned.servers:
@@ -18,7 +18,7 @@
     return json.dumps({"base": learned.base, "servers": servers}, separators=(",", ":")).encode()
 
 
-def read(line: bytes) -> Inherited:
+def read(line: bytes) -> LearnedState:
     """The same again; raises ValueError if it is none."""
     try:
         data = json.loads(line)
@@ -27,6 +27,6 @@
             most = math.inf if ceiling is None else float(ceiling)
             numbers = float(since), float(served), float(busy), float(usual), float(carries)
             servers.append(Known(str(name), *numbers, most))
-        return Inherited(float(data["base"]), tuple(servers))
+        return LearnedState(float(data["base"]), tuple(servers))
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -12,8 +12,8 @@
 from umberworks.interface import (
     AttemptEnded,
     Effect,
-    Inherited,
     Known,
+    LearnedState,
     ListKind,
     ListUpdate,
     Member,
@@ -39,8 +39,8 @@
 READ = RequestClass("read", 500, 2_000, Effect.REPEATABLE)
 
 
-@given(st.builds(Inherited, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
-def test_the_line_gives_back_what_was_written(learned: Inherited) -> None:
+@given(st.builds(LearnedState, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
+def test_the_line_gives_back_what_was_written(learned: LearnedState) -> None:
     line = heritage.write(learned)
     assert b"\n" not in line and heritage.read(line) == learned
 
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -11,7 +11,7 @@
 MOST = 4_096  # servers told of, those with the most evidence: more would hold up requests for over 10 ms
 
 
-def told(room: Room, servers: Iterable[Server], now: float) -> face.Inherited:
+def told(room: Room, servers: Iterable[Server], now: float) -> face.LearnedState:
     """What is known now."""
     known = []
     for server in servers:
@@ -19,7 +19,7 @@
         if server.served or server.usual_time:
             known.append(server)
     known.sort(key=lambda s: -s.served)
-    return face.Inherited(
+    return face.LearnedState(
         room.base,
         tuple(
             face.Known(
@@ -42,7 +42,7 @@
     def __init__(self) -> None:
         self._known: dict[str, face.Known] = {}
 
-    def take(self, event: face.Inherited, room: Room) -> None:
+    def take(self, event: face.LearnedState, room: Room) -> None:
         """Believe it where nothing better is known."""
         if not room.base and event.base:
             room.base = room.mean = event.base
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -293,7 +293,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inherited:
+class LearnedState:
     """What the version that runs has learned, for the one that takes over from it: a first measure under a crowd
     would be taken for the usual. `base` is the lowest mean time in service, in aims; 0 where it is not known."""
 
@@ -316,7 +316,7 @@
     | TimerDue
     | Detached
     | Attached
-    | Inherited
+    | LearnedState
 )
 
 
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -98,7 +98,7 @@
                 self._answer_started(event, now)
             case face.BodyEnded():
                 self._body_ended(event, now)
-            case face.Inherited():
+            case face.LearnedState():
                 self._heritage.take(event, self._room)
                 self._draw_anew(self._heritage.give)
             case face.BodyDiscarded():
@@ -157,7 +157,7 @@
             self._is_fit(server, server.listed)
             self._back.append(server)
 
-    def learned(self, now: float) -> face.Inherited:
+    def learned(self, now: float) -> face.LearnedState:
         """What a version that takes over from this one should know."""
         return told(self._room, self._fleet.ready, now)
 
