--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -6,7 +6,7 @@
 import math
 from dataclasses import astuple
 
-from umberworks.interface import Known, LearnedState
+from umberworks.interface import LearnedState, ServerEstimate
 
 
 def write(learned: LearnedState) -> bytes:
@@ -26,7 +26,7 @@
         for name, since, served, busy, usual, carries, ceiling in data["servers"]:
             most = math.inf if ceiling is None else float(ceiling)
             numbers = float(since), float(served), float(busy), float(usual), float(carries)
-            servers.append(Known(str(name), *numbers, most))
+            servers.append(ServerEstimate(str(name), *numbers, most))
         return LearnedState(float(data["base"]), tuple(servers))
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -12,7 +12,6 @@
 from umberworks.interface import (
     AttemptEnded,
     Effect,
-    Known,
     LearnedState,
     ListKind,
     ListUpdate,
@@ -21,13 +20,14 @@
     RequestArrived,
     RequestClass,
     Send,
+    ServerEstimate,
     Settings,
 )
 from umberworks.rules import Balancer
 
 NUMBER = st.floats(0, 1e12)
 KNOWN = st.builds(
-    Known,
+    ServerEstimate,
     st.text(max_size=20),
     NUMBER,
     NUMBER,
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -15,7 +15,15 @@
 from passpost.ops.store import Store
 from tests.helpers import READ, settings
 from tests.loopback import run, until
-from umberworks.interface import Known, LearnedState, ListKind, ListUpdate, Member, RequestArrived, Send
+from umberworks.interface import (
+    LearnedState,
+    ListKind,
+    ListUpdate,
+    Member,
+    RequestArrived,
+    Send,
+    ServerEstimate,
+)
 from umberworks.rules import Balancer
 
 SIZES = (1_024, 2_000, 4_096)
@@ -23,7 +31,8 @@
 
 def known(count: int) -> LearnedState:
     servers = (
-        Known(f"s-{i:08x}", 1.7e12 + i / 7, i / 3, i / 7, i / 11, i / 13, 1 / (i + 3)) for i in range(count)
+        ServerEstimate(f"s-{i:08x}", 1.7e12 + i / 7, i / 3, i / 7, i / 11, i / 13, 1 / (i + 3))
+        for i in range(count)
     )
     return LearnedState(0.1234567890123, tuple(servers))
 
@@ -69,7 +78,8 @@
     for one in (old, new):
         one.handle(ListUpdate(ListKind.WHOLE, members), 1_000.0)
     old.handle(
-        LearnedState(0.1, tuple(Known(m.server, 0.0, 2.0, 20.0, 0.2, 0.0, 9.0) for m in members)), 1_001.0
+        LearnedState(0.1, tuple(ServerEstimate(m.server, 0.0, 2.0, 20.0, 0.2, 0.0, 9.0) for m in members)),
+        1_001.0,
     )
     learned = old.learned(1_002.0)
     assert len(learned.servers) == count
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -22,7 +22,7 @@
     return face.LearnedState(
         room.base,
         tuple(
-            face.Known(
+            face.ServerEstimate(
                 s.member.server,
                 s.member.up_since_ms,
                 s.served,
@@ -40,7 +40,7 @@
     """What was handed to this version, until each server that it tells of is listed."""
 
     def __init__(self) -> None:
-        self._known: dict[str, face.Known] = {}
+        self._known: dict[str, face.ServerEstimate] = {}
 
     def take(self, event: face.LearnedState, room: Room) -> None:
         """Believe it where nothing better is known."""
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -273,7 +273,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class ServerEstimate:
     """What a balancer has learned of one server: evidence on its capacity, its usual time, what it may hold."""
 
     server: str
@@ -298,7 +298,7 @@
     would be taken for the usual. `base` is the lowest mean time in service, in aims; 0 where it is not known."""
 
     base: float
-    servers: tuple[Known, ...]
+    servers: tuple[ServerEstimate, ...]
 
     def __post_init__(self) -> None:
         _require(math.isfinite(self.base) and self.base >= 0, "base", "must be finite and not negative")
