--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -256,7 +256,7 @@
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.cancel()
-            case face.Limit(number, index, timeout):
+            case face.SetAttemptTimeout(number, index, timeout):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.limit(timeout / 1000)
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -15,12 +15,12 @@
     Cancel,
     ClientDisconnected,
     Fail,
-    Limit,
     Outcome,
     Refuse,
     RequestClass,
     ResponseStarted,
     Send,
+    SetAttemptTimeout,
     TimerDue,
 )
 
@@ -36,8 +36,8 @@
     assert send.timeout_ms == math.inf
     assert (in_flight(harness), harness.balancer._room.out) == (0, 0)  # its server has nothing to do yet
     harness.now += 60_000
-    (limit,) = of_kind(harness.deliver(BodyEnded(request, 2_500)), Limit)
-    assert limit == Limit(request, 0, 1_000)  # the class is worth nothing past its aim
+    (limit,) = of_kind(harness.deliver(BodyEnded(request, 2_500)), SetAttemptTimeout)
+    assert limit == SetAttemptTimeout(request, 0, 1_000)  # the class is worth nothing past its aim
     assert (in_flight(harness), harness.balancer._room.out) == (1, 1)
     harness.now += 50
     assert not of_kind(harness.end_attempt(request, 0, send.server, Outcome.SERVED), Refuse, Fail)
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -333,7 +333,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limit:
+class SetAttemptTimeout:
     """An attempt that had no time-out, as its request's body was open, ends after so long from now on."""
 
     request: int
@@ -384,4 +384,4 @@
     text: str
 
 
-Action = Send | Limit | Cancel | Refuse | Fail | SetTimer | Subscribe | Log
+Action = Send | SetAttemptTimeout | Cancel | Refuse | Fail | SetTimer | Subscribe | Log
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -319,7 +319,7 @@
                 timeout = request.timeout(now)
                 attempt.ends = now + timeout
                 self._books.out(attempt, now)
-                self._actions.append(face.Limit(request.id, i, timeout))
+                self._actions.append(face.SetAttemptTimeout(request.id, i, timeout))
 
     def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
         """Make a further attempt out of the savings, of which `keep` stay for others."""
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -16,7 +16,6 @@
     Effect,
     Event,
     Fail,
-    Limit,
     ListKind,
     ListUpdate,
     Log,
@@ -29,6 +28,7 @@
     RequestClass,
     ResponseStarted,
     Send,
+    SetAttemptTimeout,
     SetTimer,
     Settings,
     Subscribe,
@@ -288,7 +288,7 @@
             return f"cancel who={who} corr={request} shot={attempt}"
         case Subscribe():
             return f"follow who={who} enable=1"
-        case Limit():
+        case SetAttemptTimeout():
             raise ValueError("no request on the simulator's wire has an open body")
         case Log(text):
             return f"say_log who={who} bodyText={_one_line(text)}"
