--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,12 +7,12 @@
 from umberworks.interface import (
     Action,
     AttemptEnded,
+    DedupScope,
     Effect,
     ListKind,
     ListUpdate,
     Member,
     Outcome,
-    RepeatGroup,
     RequestArrived,
     RequestClass,
     Send,
@@ -22,9 +22,9 @@
 from umberworks.servers import Server
 
 READ = RequestClass("read", 1_000, 3_000, Effect.REPEATABLE)
-ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, RepeatGroup.CELL, 2_000)
-ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Effect.KEYED, RepeatGroup.ALL, 2_000)
-ZONAL = RequestClass("zonal", 1_000, 3_000, Effect.KEYED, RepeatGroup.ZONE, 2_000)
+ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, DedupScope.CELL, 2_000)
+ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Effect.KEYED, DedupScope.ALL, 2_000)
+ZONAL = RequestClass("zonal", 1_000, 3_000, Effect.KEYED, DedupScope.ZONE, 2_000)
 # A window says nothing for a class that must not run twice, but settings may give one.
 PAY = RequestClass("pay", 1_000, 3_000, Effect.ONCE, repeat_window_ms=2_000)
 CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -7,7 +7,7 @@
 from itertools import accumulate
 from typing import Any
 
-from umberworks.interface import Effect, RepeatGroup
+from umberworks.interface import DedupScope, Effect
 from umberworks.rules import Balancer
 from umberworks.servers import DRAWS, GOOD, Server
 
@@ -24,8 +24,8 @@
         return []
     else:
         found = [s for s in fleet.ready if s.member.up_since_ms <= ran.sent]
-        if cls.repeat_group is not RepeatGroup.ALL:
-            place = "zone" if cls.repeat_group is RepeatGroup.ZONE else "cell"
+        if cls.repeat_group is not DedupScope.ALL:
+            place = "zone" if cls.repeat_group is DedupScope.ZONE else "cell"
             found = [s for s in found if getattr(s.member, place) == getattr(ran.server.member, place)]
     if now < balancer._slow_start.until:
         found = [s for s in found if balancer._slow_start.has_room(s, now)]
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -27,7 +27,7 @@
     ONCE = "once"
 
 
-class RepeatGroup(enum.Enum):
+class DedupScope(enum.Enum):
     """Which servers drop repeats of a keyed request."""
 
     ALL = "all"
@@ -83,7 +83,7 @@
     aim_ms: float
     deadline_ms: float
     effect: Effect
-    repeat_group: RepeatGroup = RepeatGroup.ALL
+    repeat_group: DedupScope = DedupScope.ALL
     repeat_window_ms: float = 0.0
     worth: float = 1.0
     late_share: float = 0.0
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -16,7 +16,7 @@
 from umberworks.books import Books
 from umberworks.crowd import Crowd
 from umberworks.inherit import Heritage, told
-from umberworks.interface import Effect, ListKind, Outcome, RepeatGroup
+from umberworks.interface import DedupScope, Effect, ListKind, Outcome
 from umberworks.kinds import Kinds
 from umberworks.requests import Attempt, Request, Tries
 from umberworks.rest import Rest
@@ -367,9 +367,9 @@
             member = server.member
             if max(member.up_since_ms, server.back_at) > sent:
                 return False
-            if group is RepeatGroup.ALL:
+            if group is DedupScope.ALL:
                 return True
-            return member.zone == first.zone if group is RepeatGroup.ZONE else member.cell == first.cell
+            return member.zone == first.zone if group is DedupScope.ZONE else member.cell == first.cell
 
         return len(fleet.ready), drops_repeats
 
@@ -422,7 +422,7 @@
     def _look(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
         """The first ready servers that pass a test, of so many that a walk over them is short."""
         walked = self._fleet.ready[:count]
-        if len(walked) > WALK and request.cls.repeat_group is RepeatGroup.ALL:
+        if len(walked) > WALK and request.cls.repeat_group is DedupScope.ALL:
             start = self._random.randrange(len(walked))
             walked = (walked[start:] + walked[:start])[:WALK]
         return [s for s in walked if test(s)] if test is not None else walked
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -13,6 +13,7 @@
     AttemptEnded,
     Cancel,
     ClientDisconnected,
+    DedupScope,
     Effect,
     Event,
     Fail,
@@ -23,7 +24,6 @@
     Outcome,
     Readiness,
     Refuse,
-    RepeatGroup,
     RequestArrived,
     RequestClass,
     ResponseStarted,
@@ -52,7 +52,7 @@
 _READINESS = {"0": Readiness.GONE, "1": Readiness.READY, "2": Readiness.DRAINING}
 _LIST_KINDS = {"0": ListKind.SAVED, "2": ListKind.WHOLE, "3": ListKind.CHANGES, "4": ListKind.FAILED}
 _EFFECTS = {"retryable": Effect.REPEATABLE, "dedup": Effect.KEYED, "fragile": Effect.ONCE}
-_GROUPS = {"all": RepeatGroup.ALL, "zone": RepeatGroup.ZONE, "cell": RepeatGroup.CELL}
+_GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 
 _KNOWN_FACTS = frozenset(
     """
@@ -182,7 +182,7 @@
         aim_ms=number(facts, prefix + "target"),
         deadline_ms=number(facts, prefix + "deadline"),
         effect=_word(_EFFECTS, facts, prefix + "effect"),
-        repeat_group=_GROUPS.get(facts.get(prefix + "keyScope", "all"), RepeatGroup.CELL),
+        repeat_group=_GROUPS.get(facts.get(prefix + "keyScope", "all"), DedupScope.CELL),
         repeat_window_ms=number(facts, prefix + "repeatWindow", 0.0),
         worth=number(facts, prefix + "worth", 1.0),
         late_share=number(facts, prefix + "lateShare", 0.0),
