--- a/tests/plain.py
+++ b/tests/plain.py
@@ -24,8 +24,8 @@
         return []
     else:
         found = [s for s in fleet.ready if s.member.up_since_ms <= ran.sent]
-        if cls.repeat_group is not DedupScope.ALL:
-            place = "zone" if cls.repeat_group is DedupScope.ZONE else "cell"
+        if cls.dedup_scope is not DedupScope.ALL:
+            place = "zone" if cls.dedup_scope is DedupScope.ZONE else "cell"
             found = [s for s in found if getattr(s.member, place) == getattr(ran.server.member, place)]
     if now < balancer._slow_start.until:
         found = [s for s in found if balancer._slow_start.has_room(s, now)]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -109,7 +109,7 @@
                 case = self.cases[request]
                 maybe = [t for t in case.tries if t.may_have_run]
                 once_more = case.cls.effect is Effect.REPEATABLE or (
-                    case.cls.effect is Effect.KEYED and case.cls.repeat_group is DedupScope.ALL
+                    case.cls.effect is Effect.KEYED and case.cls.dedup_scope is DedupScope.ALL
                 )
                 assert not maybe or once_more, "refused what may have run"
                 self.finish(case, "refused")
@@ -143,9 +143,9 @@
             assert case.cls.effect is Effect.KEYED, "an unsafe request sent twice"
             assert self.now < maybe[0].sent + case.cls.repeat_window_ms, "repeated after the window"
             for earlier in maybe:
-                if case.cls.repeat_group is DedupScope.CELL:
+                if case.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.cell == member.cell, "repeated outside the cell"
-                if case.cls.repeat_group is DedupScope.ZONE:
+                if case.cls.dedup_scope is DedupScope.ZONE:
                     assert earlier.zone == member.zone, "repeated outside the zone"
         self.check_cold(member)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -195,7 +195,7 @@
             assert int(again[0].server[1]) // 2 == int(first[1]) // 2
         harness.now += 100
     harness = BalancerHarness(
-        6, classes=(RequestClass("order", 5_000, 9_000, ORDER.effect, ORDER.repeat_group, 2_000),)
+        6, classes=(RequestClass("order", 5_000, 9_000, ORDER.effect, ORDER.dedup_scope, 2_000),)
     )
     request, actions = harness.new_request(ORDER, remaining=9_000)
     harness.now += 2_000
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -83,7 +83,7 @@
     aim_ms: float
     deadline_ms: float
     effect: Effect
-    repeat_group: DedupScope = DedupScope.ALL
+    dedup_scope: DedupScope = DedupScope.ALL
     repeat_window_ms: float = 0.0
     worth: float = 1.0
     late_share: float = 0.0
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -360,7 +360,7 @@
             return fleet.keeps, None
         if cls.effect is Effect.ONCE or now >= ran.sent + cls.repeat_window_ms - self._settings.tick_ms:
             return 0, None
-        sent, first, group = ran.sent, ran.server.member, cls.repeat_group
+        sent, first, group = ran.sent, ran.server.member, cls.dedup_scope
 
         def drops_repeats(server: Server) -> bool:
             # A server that restarted since may have forgotten what it saw: not asked again.
@@ -422,7 +422,7 @@
     def _look(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
         """The first ready servers that pass a test, of so many that a walk over them is short."""
         walked = self._fleet.ready[:count]
-        if len(walked) > WALK and request.cls.repeat_group is DedupScope.ALL:
+        if len(walked) > WALK and request.cls.dedup_scope is DedupScope.ALL:
             start = self._random.randrange(len(walked))
             walked = (walked[start:] + walked[:start])[:WALK]
         return [s for s in walked if test(s)] if test is not None else walked
