--- a/passpost/operator/settings.py
+++ b/passpost/operator/settings.py
@@ -17,7 +17,7 @@
         aim_ms=cls.aim_ms or AIM_PART * cls.deadline_ms,
         deadline_ms=cls.deadline_ms,
         effect=EFFECTS[cls.effect],
-        repeat_window_ms=cls.window_ms,
+        dedup_window_ms=cls.window_ms,
         worth=cls.worth,
         late_share=cls.late_share,
         attempts=cls.attempts,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -26,7 +26,7 @@
 ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Effect.KEYED, DedupScope.ALL, 2_000)
 ZONAL = RequestClass("zonal", 1_000, 3_000, Effect.KEYED, DedupScope.ZONE, 2_000)
 # A window says nothing for a class that must not run twice, but settings may give one.
-PAY = RequestClass("pay", 1_000, 3_000, Effect.ONCE, repeat_window_ms=2_000)
+PAY = RequestClass("pay", 1_000, 3_000, Effect.ONCE, dedup_window_ms=2_000)
 CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
 
 
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -20,7 +20,7 @@
         return []
     if ran is None or cls.effect is Effect.REPEATABLE:
         found = fleet.ready[: fleet.keeps]
-    elif cls.effect is Effect.ONCE or now >= ran.sent + cls.repeat_window_ms - settings.tick_ms:
+    elif cls.effect is Effect.ONCE or now >= ran.sent + cls.dedup_window_ms - settings.tick_ms:
         return []
     else:
         found = [s for s in fleet.ready if s.member.up_since_ms <= ran.sent]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -141,7 +141,7 @@
         maybe = [t for t in case.tries if t.may_have_run]
         if maybe and case.cls.effect is not Effect.REPEATABLE:
             assert case.cls.effect is Effect.KEYED, "an unsafe request sent twice"
-            assert self.now < maybe[0].sent + case.cls.repeat_window_ms, "repeated after the window"
+            assert self.now < maybe[0].sent + case.cls.dedup_window_ms, "repeated after the window"
             for earlier in maybe:
                 if case.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.cell == member.cell, "repeated outside the cell"
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -113,7 +113,7 @@
     fresh = [Member(f"s{i}", up_since_ms=harness.now + 1) for i in range(0, 80, 2)]
     asked = request(ANYWHERE, (server, True), now=harness.now)
     harness.update_list(*fresh, kind=ListKind.CHANGES)
-    harness.now += 30_000 if ANYWHERE.repeat_window_ms > 31_000 else 50
+    harness.now += 30_000 if ANYWHERE.dedup_window_ms > 31_000 else 50
     same(harness.balancer, asked, harness.now, 4_000)
     assert harness.balancer._pick(request(PAY, (server, True), now=harness.now), harness.now) is None
 
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -84,7 +84,7 @@
     deadline_ms: float
     effect: Effect
     dedup_scope: DedupScope = DedupScope.ALL
-    repeat_window_ms: float = 0.0
+    dedup_window_ms: float = 0.0
     worth: float = 1.0
     late_share: float = 0.0
     streamed: bool = False
@@ -96,7 +96,7 @@
         for field in ("aim_ms", "deadline_ms"):
             value = getattr(self, field)
             _require(math.isfinite(value) and value > 0, field, "must be a finite number above 0")
-        _require(self.repeat_window_ms >= 0, "repeat_window_ms", "must not be negative")
+        _require(self.dedup_window_ms >= 0, "dedup_window_ms", "must not be negative")
         _require(self.worth >= 0, "worth", "must not be negative")
         _require(0 <= self.late_share <= 1, "late_share", "must be between 0 and 1")
         _require(self.attempts >= 0, "attempts", "must not be negative")
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -358,7 +358,7 @@
             return 0, None
         if ran is None or cls.effect is Effect.REPEATABLE:
             return fleet.keeps, None
-        if cls.effect is Effect.ONCE or now >= ran.sent + cls.repeat_window_ms - self._settings.tick_ms:
+        if cls.effect is Effect.ONCE or now >= ran.sent + cls.dedup_window_ms - self._settings.tick_ms:
             return 0, None
         sent, first, group = ran.sent, ran.server.member, cls.dedup_scope
 
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -183,7 +183,7 @@
         deadline_ms=number(facts, prefix + "deadline"),
         effect=_word(_EFFECTS, facts, prefix + "effect"),
         dedup_scope=_GROUPS.get(facts.get(prefix + "keyScope", "all"), DedupScope.CELL),
-        repeat_window_ms=number(facts, prefix + "repeatWindow", 0.0),
+        dedup_window_ms=number(facts, prefix + "repeatWindow", 0.0),
         worth=number(facts, prefix + "worth", 1.0),
         late_share=number(facts, prefix + "lateShare", 0.0),
         streamed=_flag(facts, prefix + "stream"),
