--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -51,7 +51,7 @@
 
 def balancer(size: int, seed: int, asks: bool) -> Balancer:
     """One of so many."""
-    return Balancer(Settings((CLASS,), balancers=size, list_is_asked=asks, max_attempts=3), seed)
+    return Balancer(Settings((CLASS,), balancers=size, pulls_list=asks, max_attempts=3), seed)
 
 
 class Clock:
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -52,7 +52,7 @@
         self.discovery = discovery(
             config.discovery,
             config.known,
-            not settings.list_is_asked,
+            not settings.pulls_list,
             settings.ask_within_ms / 1000,
             host.monotonic,
         )
--- a/passpost/operator/settings.py
+++ b/passpost/operator/settings.py
@@ -33,7 +33,7 @@
         classes=tuple(map(request_class, application.classes)),
         tenants=tuple(Tenant(t.name, t.share * application.rate_per_s) for t in application.tenants),
         balancers=application.balancers,
-        list_is_asked=asked,
+        pulls_list=asked,
         ask_within_ms=source.ask_within_ms if isinstance(source, model.Discovered) else 10_000.0,
         max_attempts=application.attempts,
         may_cancel=True,  # an attempt is called off by closing its connection, as HTTP/1.1 has it
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -122,7 +122,7 @@
 
     def __init__(self, within: float, balancers: int, seed: int) -> None:
         self.within, self.now = within, 1_000.0
-        self.harness = BalancerHarness(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within)
+        self.harness = BalancerHarness(2, seed, balancers=balancers, pulls_list=True, ask_within_ms=within)
         self.counted, self.times = self.now, 1
         self.due: list[float] = []
         self.asked = False  # a call is out
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -186,7 +186,7 @@
 
 def test_many_balancers_that_start_at_once_all_get_the_list() -> None:
     # In step, all but the first 80 calls wait too long, and those that repeat them keep the line that long for good.
-    harnesses = [BalancerHarness(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
+    harnesses = [BalancerHarness(4, seed, balancers=200, pulls_list=True) for seed in range(200)]
     queue = Queue(harnesses, 1_000.0)
     queue.run(12_000.0)
     assert len(queue.told) == 200
@@ -199,7 +199,7 @@
     ids=["their watches end", "they are moved"],
 )
 def test_many_balancers_that_lose_the_list_together_ask_again_spread(event: Event, within: float) -> None:
-    harnesses = [BalancerHarness(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
+    harnesses = [BalancerHarness(4, seed, balancers=200, pulls_list=True) for seed in range(200)]
     queue = Queue(harnesses, 1_000.0)
     queue.run(12_000.0)
     queue.told.clear()
@@ -213,14 +213,14 @@
 
 
 def test_few_balancers_ask_at_once() -> None:
-    harness = BalancerHarness(4, balancers=7, list_is_asked=True)
+    harness = BalancerHarness(4, balancers=7, pulls_list=True)
     assert Subscribe() in harness.all_actions
     assert Subscribe() in harness.deliver(DiscoveryMoved())
 
 
 def test_no_pause_lasts_until_a_balancer_counts_as_told() -> None:
     for seed in range(50):
-        harness = BalancerHarness(4, seed, balancers=1_000, list_is_asked=True, ask_within_ms=10_000)
+        harness = BalancerHarness(4, seed, balancers=1_000, pulls_list=True, ask_within_ms=10_000)
         for _ in range(12):
             for action in harness.deliver(ListUpdate(ListKind.FAILED)):
                 # A change counts as told 6 s after discovery had it, of which its answer may take 1.5 s.
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -283,10 +283,10 @@
     {},
     {"calling_tier": 0, "classes": tuple(replace(c, aim_ms=2_990.0) for c in CLASSES)},
     {"may_duplicate": False},
-    {"list_is_asked": True},
+    {"pulls_list": True},
     {"may_cancel": False, "max_attempts": 1},
     {"balancers": 9, "cold_from": 0.05, "cold_window_ms": 3_000.0},
-    {"classes": CLASSES[:1], "may_duplicate": False, "list_is_asked": True},
+    {"classes": CLASSES[:1], "may_duplicate": False, "pulls_list": True},
 ]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -238,7 +238,7 @@
 def test_the_list_is_asked_at_once_and_again_after_a_failure_never_in_step() -> None:
     pauses = set()
     for seed in range(4):
-        harness = BalancerHarness(2, seed=seed, list_is_asked=True)
+        harness = BalancerHarness(2, seed=seed, pulls_list=True)
         assert of_kind(harness.all_actions, Subscribe) == [Subscribe()]
         actions = harness.deliver(ListUpdate(ListKind.FAILED))
         assert any(isinstance(a, Log) for a in actions)
@@ -448,7 +448,7 @@
 
 
 def test_a_balancer_needs_no_list_to_start() -> None:
-    balancer = Balancer(Settings(classes=(READ,), list_is_asked=True), 1)
+    balancer = Balancer(Settings(classes=(READ,), pulls_list=True), 1)
     assert Subscribe() in balancer.handle(RequestArrived(1, "read", 500), 0.0)
 
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -122,7 +122,7 @@
         self.planned = 0  # timers that will ask
         self.heard: list[tuple[float, ListUpdate]] = []
         self.discovery = Discovery(PLACES[0], None, pushed, 10.0, loop.time)
-        self.harness = BalancerHarness(2, seed, list_is_asked=not pushed, balancers=balancers)
+        self.harness = BalancerHarness(2, seed, pulls_list=not pushed, balancers=balancers)
         self.carry_out(self.harness.all_actions)
         self.discovery.start(self.listed)
 
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -123,7 +123,7 @@
     tenants: tuple[Tenant, ...] = ()
     balancers: int = 1
     calling_tier: int = 0
-    list_is_asked: bool = False
+    pulls_list: bool = False
     ask_within_ms: float = 10_000.0
     max_attempts: int = 3
     may_cancel: bool = False
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -70,7 +70,7 @@
     def handle(self, event: face.Event, now: float) -> list[face.Action]:
         """Take one event at time `now` and return what to do, in order."""
         self._actions = []
-        if self._settings.list_is_asked and (isinstance(event, face.DiscoveryMoved) or not self._asked):
+        if self._settings.pulls_list and (isinstance(event, face.DiscoveryMoved) or not self._asked):
             self._asked = True
             wait = self._asking.first()
             self._actions.append(face.SetTimer(now + wait, "list") if wait else face.Subscribe())
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -210,7 +210,7 @@
         tenants=tuple(tenants),
         balancers=int(number(facts, "balancers", 1.0)),
         calling_tier=int(number(facts, "tier", 0.0)),
-        list_is_asked=asked,
+        pulls_list=asked,
         ask_within_ms=number(facts, "contract.askWithin", None if asked else 10_000.0),
         max_attempts=int(number(facts, "limits.attemptsCap", 1.0)),
         may_cancel=_flag(facts, "limits.mayCancel"),
