--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -244,7 +244,7 @@
             loop.call_later(POLL_S, self._again)
         else:
             unheard = (self._monotonic() - self._counted) * 1000
-            self._tell(ListUpdate(ListKind.FAILED, unheard_ms=unheard), self._addresses)
+            self._tell(ListUpdate(ListKind.FAILED, since_contact_ms=unheard), self._addresses)
 
     def _again(self) -> None:
         """Look at the agent again, unless it was stopped or moved meanwhile."""
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -91,7 +91,7 @@
     # It is overdue after 2.5 s, when the second is made beside it; that one's failure is told, and nothing before.
     at, update = hears(after=1_000.0)[1]
     assert update.kind is ListKind.FAILED
-    assert update.unheard_ms == pytest.approx(6_000, abs=10)
+    assert update.since_contact_ms == pytest.approx(6_000, abs=10)
     assert at == pytest.approx(8.5, abs=0.02)
 
 
@@ -99,7 +99,9 @@
     assert hears(after=2.4, ask_within=3.0)[1][1].kind is ListKind.WHOLE
     at, update = hears(after=1_000.0, ask_within=5.0)[1]
     assert update.kind is ListKind.FAILED and at == pytest.approx(2.5 + 3.0, abs=0.02)
-    assert update.unheard_ms == pytest.approx(3_000, abs=10)  # the next is due 5 s after the second was made
+    assert update.since_contact_ms == pytest.approx(
+        3_000, abs=10
+    )  # the next is due 5 s after the second was made
 
 
 @given(
@@ -151,7 +153,7 @@
     def fail(self, after: float, unheard: float, times: int) -> None:
         self.now += after
         self.asked, self.counted, self.times = False, self.now - unheard, times
-        self.tell(ListUpdate(ListKind.FAILED, unheard_ms=unheard))
+        self.tell(ListUpdate(ListKind.FAILED, since_contact_ms=unheard))
 
 
 @given(
--- a/umberworks/asking.py
+++ b/umberworks/asking.py
@@ -32,12 +32,12 @@
         """The pause before the first call at a start or after a move: others begin with us."""
         return self._span and self._span * self._chance.random()
 
-    def again(self, unheard_ms: float) -> float:
+    def again(self, since_contact_ms: float) -> float:
         """The pause after a call that failed; a short one where none that counts was made for long."""
         least = min(RETRY_MS * float(2 ** min(self.failures, 9)), self._within / 3)
         most = min(1.5 * max(least, self._span), LONGEST_MS)
         begins = min(least * (0.5 + self.failures), most * (MANY_FROM if self._span else FEW_FROM))
         pause = self._chance.uniform(begins, most)  # soon at first; who fails again waits
         self.failures += 1
-        left = self._within * (1 - SPARE) - unheard_ms
+        left = self._within * (1 - SPARE) - since_contact_ms
         return min(pause, left if left > 0 else least * self._chance.random())
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -178,14 +178,14 @@
 class ListUpdate:
     """News of the server list; FAILED carries no members and leaves the old list standing.
 
-    `unheard_ms`, with FAILED: how long ago this balancer last watched or asked in a way that surely counts, 0
+    `since_contact_ms`, with FAILED: how long ago this balancer last watched or asked in a way that surely counts, 0
     where the call that failed was turned away or cut off. What has changed since counts as told once that is
     `ask_within_ms` ago, whether or not it was heard (PROTOCOL, the rules on sockets).
     """
 
     kind: ListKind
     members: tuple[Member, ...] = ()
-    unheard_ms: float = 0.0
+    since_contact_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -111,7 +111,7 @@
         if event.kind is ListKind.FAILED:
             if not self._asking.failures:
                 self._actions.append(face.Log("server list out of reach; keeping the last one"))
-            self._actions.append(face.SetTimer(now + self._asking.again(event.unheard_ms), "list"))
+            self._actions.append(face.SetTimer(now + self._asking.again(event.since_contact_ms), "list"))
             return
         if self._asking.failures and event.kind is not ListKind.SAVED:
             self._asking.failures = 0
