--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -12,7 +12,7 @@
 from umberworks.crowd import GROW, LEAST, Crowd
 from umberworks.interface import Member
 from umberworks.rest import EASED, OFF_MS, REST_MS, SLOW_FOR_MS, SURE_MS, Rest
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 START = 1_796_131_357_300.0  # Unix time in ms, as the module's clock is
 STEP = 500.0  # how often the module looks
@@ -120,7 +120,7 @@
             one.recent_calls = 0.0 if resting else 20.0
             one.recent = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
-            one.crowd = 0.1 * factor * one.recent / (MEMORY_MS / 3)
+            one.crowd = 0.1 * factor * one.recent / (EVIDENCE_DECAY_MS / 3)
         said = self.rests[number].look(self.views[number], short, least, self.now)
         if said:
             self.log.append(f"{(self.now - START) / 1000:.1f} {number} {said}")
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 
 from umberworks import interface as face
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 LONG_MS = 60_000.0  # what a kind has shown fades by 1/e over this: a kind stays what it is
 PRIOR_CALLS = 8.0  # calls' worth of belief that a kind is as fast as all; single calls differ by a lot
@@ -53,7 +53,7 @@
         for kind in {*known, *self._shown}:
             calls, time = self._shown.get(kind, (0.0, 0.0))
             more, took = pooled(known.get(kind, []))
-            part = min(gap / MEMORY_MS, 1.0)  # the rest of it was there at the last look
+            part = min(gap / EVIDENCE_DECAY_MS, 1.0)  # the rest of it was there at the last look
             self._shown[kind] = calls * fade + more * part, time * fade + took * part
         moved, (all_calls, all_time) = False, self._shown.get(ALL, (0.0, 0.0))
         if len(self._shown) <= 2 or not all_time:  # all are of one kind, or none is told
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 
 from umberworks.crowd import GROW
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 SLOW, MOST = 1.6, 0.5  # usual times in service from which a server is slow; the share that has to be slow
 SLOW_FOR_MS = 3_500.0
@@ -134,4 +134,4 @@
     for server in servers:
         crowd += server.crowd
         recent += server.recent
-    return crowd * MEMORY_MS / 3 / recent if recent else 0.0
+    return crowd * EVIDENCE_DECAY_MS / 3 / recent if recent else 0.0
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -21,7 +21,7 @@
 from umberworks.requests import Attempt, Request, Tries
 from umberworks.rest import Rest
 from umberworks.room import RATE_MEMORY_MS, Room
-from umberworks.servers import MEMORY_MS, Fleet, Pick, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Pick, Server
 from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
 
@@ -234,7 +234,7 @@
     def _refuse_for_room(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
             self._actions.append(face.Log(f"no room: refusing; {self._room.out} calls out"))
-        self._refusing_until = now + MEMORY_MS
+        self._refusing_until = now + EVIDENCE_DECAY_MS
         self._give_up(request)
 
     def _copy(self, request: Request, now: float) -> None:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -18,7 +18,9 @@
 
 from umberworks import interface as face
 
-MEMORY_MS = 6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
+EVIDENCE_DECAY_MS = (
+    6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
+)
 PRIOR_CALLS = 2.0  # calls' worth of belief in the median, so that one slow answer does not ruin an estimate
 DRAWS = 4  # d of the design; with few calls out for each server a draw of 2 too often misses the free one
 GOOD = 0.5  # of its usual capacity; below it a server is slow, cold or silent
@@ -59,13 +61,13 @@
         """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
         gap = now - self.seen
         if gap > 0:
-            fade = math.exp(-gap / MEMORY_MS)
+            fade = math.exp(-gap / EVIDENCE_DECAY_MS)
             self.served *= fade
             # The time that calls in flight add fades too: one long gap comes to as much as many short ones.
             # It counts as warm time: what a cold server shows tells what it will do once it is warm.
             self.busy *= fade
             if self.in_flight:
-                self.busy += self.in_flight * MEMORY_MS * (1 - fade) * self.warmth(self, now)
+                self.busy += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
             third = fade * fade * fade
             self.crowd = self.live + (self.crowd - self.live) * third
             self.recent *= third
@@ -75,7 +77,7 @@
 
     def time(self) -> float:
         """How long its calls take now, in aims; 0 where it has served none of late."""
-        return self.crowd * MEMORY_MS / 3 / self.recent if self.recent else 0.0
+        return self.crowd * EVIDENCE_DECAY_MS / 3 / self.recent if self.recent else 0.0
 
     def capacity(self, usual: float, now: float) -> float:
         """c of the design when it is warm: served calls over our time in flight, leaning on what is usual."""
@@ -182,7 +184,7 @@
     def calls(self, now: float) -> float:
         """Served calls in memory, over all ready servers."""
         if now > self._as_of:
-            self._kept_calls *= math.exp((self._as_of - now) / MEMORY_MS)
+            self._kept_calls *= math.exp((self._as_of - now) / EVIDENCE_DECAY_MS)
             self._as_of = now
         return self._kept_calls + self._other_calls
 
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -12,7 +12,7 @@
 
 from umberworks import interface as face
 from umberworks.kinds import pooled
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
 LEAST_CORES = 2  # that a server has: so many calls it serves beside one another at full speed
@@ -40,7 +40,7 @@
             if server.served and server.busy:
                 known.append((server.served / server.busy / server.size, server.served))
         if warm:
-            self.usual_rate = sum(warm) / len(warm) / MEMORY_MS
+            self.usual_rate = sum(warm) / len(warm) / EVIDENCE_DECAY_MS
         calls, time = pooled(known)
         if calls >= LEAST_CALLS:
             self.alone = calls / time
