--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -496,7 +496,7 @@
     first = sent(actions)[0].server
     timers = [a for a in actions if isinstance(a, SetTimer)]
     if serves_others:
-        harness.balancer._servers[first].heard = harness.now + 1
+        harness.balancer._servers[first].last_served_at = harness.now + 1
     if not timers:
         return []
     harness.now = timers[0].at_ms
--- a/umberworks/books.py
+++ b/umberworks/books.py
@@ -40,7 +40,7 @@
         self._room.out -= 1
         if outcome is Outcome.SERVED:
             server.served += 1
-            server.heard = now
+            server.last_served_at = now
             self._fleet.served(server, usual, now)
             self._room.served(cls.aim_ms, now)
             self._crowd.served(server, cls.aim_ms, now)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -239,7 +239,9 @@
 
     def _copy(self, request: Request, now: float) -> None:
         """Send a copy of what is overdue at a server that has served nothing since: it may hang."""
-        silent = request.is_out() and all(a.server.heard <= a.sent for a in request.attempts if a.out)
+        silent = request.is_out() and all(
+            a.server.last_served_at <= a.sent for a in request.attempts if a.out
+        )
         if silent and self._has_room():
             self._try_again(request, now, RETRY_BURST / 2)
 
@@ -413,7 +415,9 @@
 
         A cold one wins no comparison while others are idle, and nobody would learn that it is well again.
         """
-        self._back = [s for s in self._back if s.heard <= s.back_at and s.member.server not in self._detached]
+        self._back = [
+            s for s in self._back if s.last_served_at <= s.back_at and s.member.server not in self._detached
+        ]
         window = self._settings.cold_window_ms
         due = (s for s in self._back if s.fit and now - s.last_sent >= window)
         # Many balancers may be told at one moment: the budget of all holds here too.
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -37,7 +37,11 @@
     def __init__(self, member: face.Member, now: float, rank: float, warmth: Warmth) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
         self.warmth = warmth  # of a server at a moment: the part that it has of its capacity at the least
-        self.listed, self.fit, self.heard = False, False, now  # ready by the list; and nobody took it out
+        self.listed, self.fit, self.last_served_at = (
+            False,
+            False,
+            now,
+        )  # ready by the list; and nobody took it out
         self.in_flight = 0  # m of the design, held slots of failures included
         self.live = 0  # the same without these
         self.last_sent = -math.inf
