--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -28,7 +28,7 @@
     """Send as long as there is room."""
     sent = 0
     while sent < most and crowd.has_room(one, now):
-        one.live += 1
+        one.calls_out += 1
         sent += 1
     return sent
 
@@ -36,7 +36,7 @@
 def work(crowd: Crowd, one: Server, calls: int, held: int, aims: float, now: float) -> float:
     """A server that holds `held` calls answers so many, each after `aims` of its aim of 1 s; the time then."""
     one.catch_up(now)
-    one.live = held
+    one.calls_out = held
     for _ in range(calls):
         now += aims * 1000 / held
         one.catch_up(now)
@@ -63,7 +63,7 @@
 
 def test_it_is_the_mean_that_is_bounded_so_that_two_balancers_never_choke_one_together() -> None:
     crowd, one = Crowd(2), server("a")
-    one.live, one.crowd = 3, LEAST / 2 + 0.1  # a standing crowd, of which one call has just ended
+    one.calls_out, one.crowd = 3, LEAST / 2 + 0.1  # a standing crowd, of which one call has just ended
     assert not crowd.has_room(one, START)
     one.crowd = LEAST / 2 - 0.1
     assert crowd.has_room(one, START)
@@ -92,7 +92,7 @@
     for step in range(1, 200):  # calls that end are replaced while there is room
         now = START + step * 100
         one.catch_up(now)
-        one.live = max(one.live - 1, 0)
+        one.calls_out = max(one.calls_out - 1, 0)
         fill(crowd, one, now)
     assert one.crowd <= max(most, 1.0) + 1.0  # a standing crowd keeps to the mean, but for a whole call
 
--- a/umberworks/books.py
+++ b/umberworks/books.py
@@ -25,7 +25,7 @@
         server, attempt.counted = attempt.server, True
         server.catch_up(now)
         server.in_flight += 1
-        server.live += 1
+        server.calls_out += 1
         self._room.out += 1
 
     def ended(
@@ -36,7 +36,7 @@
             return
         server, attempt.counted = attempt.server, False
         server.catch_up(now)
-        server.live -= 1
+        server.calls_out -= 1
         self._room.out -= 1
         if outcome is Outcome.SERVED:
             server.served += 1
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -43,7 +43,7 @@
             now,
         )  # ready by the list; and nobody took it out
         self.in_flight = 0  # m of the design, held slots of failures included
-        self.live = 0  # the same without these
+        self.calls_out = 0  # the same without these
         self.last_sent = -math.inf
         self.back_at = 0.0  # when it was last called back by hand: until the list tells, it started then
         self.bucket: _Bucket | None = None  # while it is kept to
@@ -55,7 +55,7 @@
         """Drop the evidence: the process behind the name is a new one."""
         self.served, self.busy, self.seen = 0.0, 0.0, now
         self.turn_ends, self.has_turn = now, False  # see slow_start.py
-        self.crowd = float(self.live)  # our calls there, in the mean over a third of that memory
+        self.crowd = float(self.calls_out)  # our calls there, in the mean over a third of that memory
         self.carries, self.usual_time = 0.0, 0.0  # see crowd.py; 0: not known
         self.recent, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
         self.ceiling, self.rests_until = math.inf, 0.0  # see rest.py
@@ -73,10 +73,10 @@
             if self.in_flight:
                 self.busy += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
             third = fade * fade * fade
-            self.crowd = self.live + (self.crowd - self.live) * third
+            self.crowd = self.calls_out + (self.crowd - self.calls_out) * third
             self.recent *= third
             self.recent_calls *= third
-            self.block_times += self.live * gap
+            self.block_times += self.calls_out * gap
             self.seen = now
 
     def time(self) -> float:
