--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -239,7 +239,7 @@
         fleet, ready = self.fleet, self.fleet.ready
         assert [s.rank for s in ready] == sorted(s.rank for s in ready)
         assert {id(s) for s in fleet.kept} == {id(s) for s in ready[: fleet.keeps]}
-        assert all(s.fit for s in ready) and all(s.bucket is None for s in ready[fleet.keeps :])
+        assert all(s.eligible for s in ready) and all(s.bucket is None for s in ready[fleet.keeps :])
         for server in ready[: fleet.keeps]:
             assert server.bucket is not None and server.bucket.servers[server.index] is server
 
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -82,7 +82,7 @@
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
-        calls = sum(s.recent_calls for s in self._group if s.fit)
+        calls = sum(s.recent_calls for s in self._group if s.eligible)
         if calls < 2 * LEAST_CALLS * len(self._group) and now - self._until < JUDGE_MS:
             return ""
         group, self._group = self._group, []
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -91,7 +91,7 @@
             case face.Detached():
                 self._detached.add(event.server)
                 if (server := self._servers.get(event.server)) is not None:
-                    self._is_fit(server, False)
+                    self._set_eligible(server, False)
             case face.Attached():
                 self._attached(event, now)
             case face.ResponseStarted():
@@ -120,7 +120,7 @@
             named = {m.server for m in event.members}
             for known in [s for n, s in self._servers.items() if s.listed and n not in named]:
                 known.listed = False  # missing from a whole list means gone
-                self._is_fit(known, False)
+                self._set_eligible(known, False)
         for member in event.members:
             server = self._servers.get(member.server)
             if server is None:
@@ -129,12 +129,12 @@
                 self._heritage.give(server)
             size = self._kinds.size(member)
             if member.up_since_ms > server.member.up_since_ms or size != server.size:
-                self._is_fit(server, False)  # what it is drawn by changes
+                self._set_eligible(server, False)  # what it is drawn by changes
             if member.up_since_ms > server.member.up_since_ms:
                 server.forget(now)  # the same name, a new process
             server.member, server.size = member, size
             server.listed = member.readiness is face.Readiness.READY
-            self._is_fit(server, server.listed and member.server not in self._detached)
+            self._set_eligible(server, server.listed and member.server not in self._detached)
             self._slow_start.started(member.up_since_ms)
         for name, server in list(self._leaving.items()):
             if server.listed or not server.in_flight:
@@ -152,9 +152,9 @@
         self._slow_start.started(event.at_ms)
         if server is not None and (was_out or server.back_at < event.at_ms):
             server.back_at = max(server.back_at, event.at_ms)
-            self._is_fit(server, False)
+            self._set_eligible(server, False)
             server.forget(now)
-            self._is_fit(server, server.listed)
+            self._set_eligible(server, server.listed)
             self._back.append(server)
 
     def learned(self, now: float) -> face.LearnedState:
@@ -164,16 +164,16 @@
     def _draw_anew(self, change: Callable[[Server], None]) -> None:
         """Change what the ready servers are drawn by."""
         for server in list(self._fleet.ready):
-            self._is_fit(server, False)
+            self._set_eligible(server, False)
             change(server)
-            self._is_fit(server, True)
+            self._set_eligible(server, True)
 
-    def _is_fit(self, server: Server, fit: bool) -> None:
-        if fit and not server.fit:
+    def _set_eligible(self, server: Server, eligible: bool) -> None:
+        if eligible and not server.eligible:
             self._fleet.enter(server, self._median or 1.0, self._now)
-        elif server.fit and not fit:
+        elif server.eligible and not eligible:
             self._fleet.leave(server, self._median or 1.0, self._now)
-        if not fit:
+        if not eligible:
             self._leaving[server.member.server] = server
 
     def _choose(self) -> None:
@@ -419,7 +419,7 @@
             s for s in self._back if s.last_served_at <= s.back_at and s.member.server not in self._detached
         ]
         window = self._settings.cold_window_ms
-        due = (s for s in self._back if s.fit and now - s.last_sent >= window)
+        due = (s for s in self._back if s.eligible and now - s.last_sent >= window)
         # Many balancers may be told at one moment: the budget of all holds here too.
         return next((s for s in due if self._slow_start.has_room(s, now)), None)
 
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -37,7 +37,7 @@
     def __init__(self, member: face.Member, now: float, rank: float, warmth: Warmth) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
         self.warmth = warmth  # of a server at a moment: the part that it has of its capacity at the least
-        self.listed, self.fit, self.last_served_at = (
+        self.listed, self.eligible, self.last_served_at = (
             False,
             False,
             now,
@@ -162,7 +162,7 @@
         i = bisect(self.ready, server.rank, key=_rank)
         self.ready.insert(i, server)
         self._take(server, i < self.keeps, usual, now)
-        server.fit = True
+        server.eligible = True
         if i < self.keeps < len(self.ready):
             self._take(self.ready[self.keeps], False, usual, now)
 
@@ -173,7 +173,7 @@
             i += 1
         del self.ready[i]
         self._let_go(server, now)
-        server.fit = False
+        server.eligible = False
         if i < self.keeps <= len(self.ready):
             self._take(self.ready[self.keeps - 1], True, usual, now)
 
@@ -199,7 +199,7 @@
             self._kept_calls += 1
             if not bucket.top / 4 < server.bound(usual * server.size) / server.size <= bucket.top:
                 self.kept.put(server, usual)
-        elif server.fit:
+        elif server.eligible:
             server.counted += 1
             self._other_calls += 1
 
@@ -226,7 +226,7 @@
         if server.bucket is not None:
             self._kept_calls = max(self._kept_calls - server.served, 0.0)
             self.kept.drop(server)
-        elif server.fit:
+        elif server.eligible:
             self._other_calls = max(self._other_calls - server.counted, 0.0)
 
 
