--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -20,7 +20,7 @@
 
 def server(name: str) -> Server:
     made = Server(Member(name), START, 0.5, always_warm)
-    made.eligible = made.listed = True
+    made.eligible = made.listed_ready = True
     return made
 
 
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -118,8 +118,8 @@
             self._actions.append(face.Log("server list is back"))
         if event.kind is not ListKind.CHANGES:
             named = {m.server for m in event.members}
-            for known in [s for n, s in self._servers.items() if s.listed and n not in named]:
-                known.listed = False  # missing from a whole list means gone
+            for known in [s for n, s in self._servers.items() if s.listed_ready and n not in named]:
+                known.listed_ready = False  # missing from a whole list means gone
                 self._set_eligible(known, False)
         for member in event.members:
             server = self._servers.get(member.server)
@@ -133,13 +133,13 @@
             if member.up_since_ms > server.member.up_since_ms:
                 server.forget(now)  # the same name, a new process
             server.member, server.size = member, size
-            server.listed = member.readiness is face.Readiness.READY
-            self._set_eligible(server, server.listed and member.server not in self._detached)
+            server.listed_ready = member.readiness is face.Readiness.READY
+            self._set_eligible(server, server.listed_ready and member.server not in self._detached)
             self._slow_start.started(member.up_since_ms)
         for name, server in list(self._leaving.items()):
-            if server.listed or not server.in_flight:
+            if server.listed_ready or not server.in_flight:
                 del self._leaving[name]
-                if not server.listed:
+                if not server.listed_ready:
                     del self._servers[name]
         self._choose()
         self._median_at = -math.inf
@@ -154,7 +154,7 @@
             server.back_at = max(server.back_at, event.at_ms)
             self._set_eligible(server, False)
             server.forget(now)
-            self._set_eligible(server, server.listed)
+            self._set_eligible(server, server.listed_ready)
             self._back.append(server)
 
     def learned(self, now: float) -> face.LearnedState:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -37,7 +37,7 @@
     def __init__(self, member: face.Member, now: float, rank: float, warmth: Warmth) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
         self.warmth = warmth  # of a server at a moment: the part that it has of its capacity at the least
-        self.listed, self.eligible, self.last_served_at = (
+        self.listed_ready, self.eligible, self.last_served_at = (
             False,
             False,
             now,
