--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -150,8 +150,8 @@
         was_out = event.server in self._detached
         self._detached.discard(event.server)
         self._slow_start.started(event.at_ms)
-        if server is not None and (was_out or server.back_at < event.at_ms):
-            server.back_at = max(server.back_at, event.at_ms)
+        if server is not None and (was_out or server.reattached_at < event.at_ms):
+            server.reattached_at = max(server.reattached_at, event.at_ms)
             self._set_eligible(server, False)
             server.forget(now)
             self._set_eligible(server, server.listed_ready)
@@ -367,7 +367,7 @@
         def drops_repeats(server: Server) -> bool:
             # A server that restarted since may have forgotten what it saw: not asked again.
             member = server.member
-            if max(member.up_since_ms, server.back_at) > sent:
+            if max(member.up_since_ms, server.reattached_at) > sent:
                 return False
             if group is DedupScope.ALL:
                 return True
@@ -416,7 +416,9 @@
         A cold one wins no comparison while others are idle, and nobody would learn that it is well again.
         """
         self._back = [
-            s for s in self._back if s.last_served_at <= s.back_at and s.member.server not in self._detached
+            s
+            for s in self._back
+            if s.last_served_at <= s.reattached_at and s.member.server not in self._detached
         ]
         window = self._settings.cold_window_ms
         due = (s for s in self._back if s.eligible and now - s.last_sent >= window)
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -45,7 +45,9 @@
         self.in_flight = 0  # m of the design, held slots of failures included
         self.calls_out = 0  # the same without these
         self.last_sent = -math.inf
-        self.back_at = 0.0  # when it was last called back by hand: until the list tells, it started then
+        self.reattached_at = (
+            0.0  # when it was last called back by hand: until the list tells, it started then
+        )
         self.bucket: _Bucket | None = None  # while it is kept to
         self.index = 0  # in its bucket
         self.counted = 0.0  # calls of it that count as in memory while it is not kept to
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -51,7 +51,7 @@
 
     def warmth(self, server: Server, now: float) -> float:
         """The share of its capacity that a server has at the least, by its age."""
-        since = max(server.member.up_since_ms, server.back_at)
+        since = max(server.member.up_since_ms, server.reattached_at)
         age = max(now - since, 0.0)  # by clocks that disagree it may start yet
         if since <= 0 or age >= self._settings.cold_ms:
             return 1.0
