--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -63,9 +63,12 @@
 
 def test_it_is_the_mean_that_is_bounded_so_that_two_balancers_never_choke_one_together() -> None:
     crowd, one = Crowd(2), server("a")
-    one.calls_out, one.crowd = 3, LEAST / 2 + 0.1  # a standing crowd, of which one call has just ended
+    one.calls_out, one.mean_calls_out = (
+        3,
+        LEAST / 2 + 0.1,
+    )  # a standing crowd, of which one call has just ended
     assert not crowd.has_room(one, START)
-    one.crowd = LEAST / 2 - 0.1
+    one.mean_calls_out = LEAST / 2 - 0.1
     assert crowd.has_room(one, START)
 
 
@@ -84,7 +87,7 @@
     balancers: int, carries: float, before: float, ceiling: float
 ) -> None:
     crowd, one = Crowd(balancers), server("a")
-    one.carries, one.crowd, one.ceiling = carries, before, ceiling
+    one.carries, one.mean_calls_out, one.ceiling = carries, before, ceiling
     sent = fill(crowd, one, START)
     most = crowd.most(one)
     assert most <= ceiling
@@ -94,7 +97,9 @@
         one.catch_up(now)
         one.calls_out = max(one.calls_out - 1, 0)
         fill(crowd, one, now)
-    assert one.crowd <= max(most, 1.0) + 1.0  # a standing crowd keeps to the mean, but for a whole call
+    assert (
+        one.mean_calls_out <= max(most, 1.0) + 1.0
+    )  # a standing crowd keeps to the mean, but for a whole call
 
 
 class Fleet:
@@ -120,7 +125,7 @@
             one.recent_calls = 0.0 if resting else 20.0
             one.recent = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
-            one.crowd = 0.1 * factor * one.recent / (EVIDENCE_DECAY_MS / 3)
+            one.mean_calls_out = 0.1 * factor * one.recent / (EVIDENCE_DECAY_MS / 3)
         said = self.rests[number].look(self.views[number], short, least, self.now)
         if said:
             self.log.append(f"{(self.now - START) / 1000:.1f} {number} {said}")
--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -40,7 +40,7 @@
         """Whether it can take a call: its mean stays under what it may hold, and bursts too but for one."""
         server.catch_up(now)
         most = self.most(server)
-        return not server.calls_out or (server.calls_out < most and server.crowd < most)
+        return not server.calls_out or (server.calls_out < most and server.mean_calls_out < most)
 
     def served(self, server: Server, aim_ms: float, now: float) -> None:
         """Count a served call; with a whole measure, note what the server carries."""
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -130,8 +130,8 @@
 
 def time(servers: Iterable[Server]) -> float:
     """The mean time in service of some servers, in aims; 0 where they have served none of late."""
-    crowd, recent = 0.0, 0.0
+    mean_calls_out, recent = 0.0, 0.0
     for server in servers:
-        crowd += server.crowd
+        mean_calls_out += server.mean_calls_out
         recent += server.recent
-    return crowd * EVIDENCE_DECAY_MS / 3 / recent if recent else 0.0
+    return mean_calls_out * EVIDENCE_DECAY_MS / 3 / recent if recent else 0.0
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -57,7 +57,9 @@
         """Drop the evidence: the process behind the name is a new one."""
         self.served, self.busy, self.seen = 0.0, 0.0, now
         self.turn_ends, self.has_turn = now, False  # see slow_start.py
-        self.crowd = float(self.calls_out)  # our calls there, in the mean over a third of that memory
+        self.mean_calls_out = float(
+            self.calls_out
+        )  # our calls there, in the mean over a third of that memory
         self.carries, self.usual_time = 0.0, 0.0  # see crowd.py; 0: not known
         self.recent, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
         self.ceiling, self.rests_until = math.inf, 0.0  # see rest.py
@@ -75,7 +77,7 @@
             if self.in_flight:
                 self.busy += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
             third = fade * fade * fade
-            self.crowd = self.calls_out + (self.crowd - self.calls_out) * third
+            self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * third
             self.recent *= third
             self.recent_calls *= third
             self.block_times += self.calls_out * gap
@@ -83,7 +85,7 @@
 
     def time(self) -> float:
         """How long its calls take now, in aims; 0 where it has served none of late."""
-        return self.crowd * EVIDENCE_DECAY_MS / 3 / self.recent if self.recent else 0.0
+        return self.mean_calls_out * EVIDENCE_DECAY_MS / 3 / self.recent if self.recent else 0.0
 
     def capacity(self, usual: float, now: float) -> float:
         """c of the design when it is warm: served calls over our time in flight, leaning on what is usual."""
