--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -123,9 +123,9 @@
             resting = one.rests_until > self.now
             one.usual_time, one.seen = 0.1, self.now
             one.recent_calls = 0.0 if resting else 20.0
-            one.recent = one.recent_calls * 1000
+            one.recent_aims_ms = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
-            one.mean_calls_out = 0.1 * factor * one.recent / (EVIDENCE_DECAY_MS / 3)
+            one.mean_calls_out = 0.1 * factor * one.recent_aims_ms / (EVIDENCE_DECAY_MS / 3)
         said = self.rests[number].look(self.views[number], short, least, self.now)
         if said:
             self.log.append(f"{(self.now - START) / 1000:.1f} {number} {said}")
--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -46,7 +46,7 @@
         """Count a served call; with a whole measure, note what the server carries."""
         if not self.tells:
             return
-        server.recent += aim_ms
+        server.recent_aims_ms += aim_ms
         server.recent_calls += 1
         server.block_calls += 1
         server.block_aims += aim_ms
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -130,8 +130,8 @@
 
 def time(servers: Iterable[Server]) -> float:
     """The mean time in service of some servers, in aims; 0 where they have served none of late."""
-    mean_calls_out, recent = 0.0, 0.0
+    mean_calls_out, recent_aims_ms = 0.0, 0.0
     for server in servers:
         mean_calls_out += server.mean_calls_out
-        recent += server.recent
-    return mean_calls_out * EVIDENCE_DECAY_MS / 3 / recent if recent else 0.0
+        recent_aims_ms += server.recent_aims_ms
+    return mean_calls_out * EVIDENCE_DECAY_MS / 3 / recent_aims_ms if recent_aims_ms else 0.0
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -61,7 +61,7 @@
             self.calls_out
         )  # our calls there, in the mean over a third of that memory
         self.carries, self.usual_time = 0.0, 0.0  # see crowd.py; 0: not known
-        self.recent, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
+        self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
         self.ceiling, self.rests_until = math.inf, 0.0  # see rest.py
         self.block_calls, self.block_aims, self.block_times, self.block_from = 0, 0.0, 0.0, now
 
@@ -78,14 +78,16 @@
                 self.busy += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
             third = fade * fade * fade
             self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * third
-            self.recent *= third
+            self.recent_aims_ms *= third
             self.recent_calls *= third
             self.block_times += self.calls_out * gap
             self.seen = now
 
     def time(self) -> float:
         """How long its calls take now, in aims; 0 where it has served none of late."""
-        return self.mean_calls_out * EVIDENCE_DECAY_MS / 3 / self.recent if self.recent else 0.0
+        return (
+            self.mean_calls_out * EVIDENCE_DECAY_MS / 3 / self.recent_aims_ms if self.recent_aims_ms else 0.0
+        )
 
     def capacity(self, usual: float, now: float) -> float:
         """c of the design when it is warm: served calls over our time in flight, leaning on what is usual."""
