--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -248,7 +248,7 @@
         for server in self.fleet.kept:
             assert server.bucket is not None
             for later in (0.0, 3_000.0, 60_000.0):
-                fade = math.exp(-(self.now + later - server.seen) / EVIDENCE_DECAY_MS)
+                fade = math.exp(-(self.now + later - server.updated_at) / EVIDENCE_DECAY_MS)
                 busy = server.busy * fade + server.in_flight * EVIDENCE_DECAY_MS * (1 - fade)
                 usual = self.usual * server.size
                 capacity = (server.served * fade + 2) / (busy + 2 / usual)
@@ -257,7 +257,9 @@
 
     @invariant()
     def calls_are_counted(self) -> None:
-        kept = sum(s.served * math.exp((s.seen - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.kept)
+        kept = sum(
+            s.served * math.exp((s.updated_at - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.kept
+        )
         others = sum(s.counted for s in self.fleet.ready[self.fleet.keeps :])
         assert math.isclose(self.fleet.calls(self.now), kept + others, rel_tol=1e-6, abs_tol=1e-6)
 
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -55,7 +55,7 @@
 
     def forget(self, now: float) -> None:
         """Drop the evidence: the process behind the name is a new one."""
-        self.served, self.busy, self.seen = 0.0, 0.0, now
+        self.served, self.busy, self.updated_at = 0.0, 0.0, now
         self.turn_ends, self.has_turn = now, False  # see slow_start.py
         self.mean_calls_out = float(
             self.calls_out
@@ -67,7 +67,7 @@
 
     def catch_up(self, now: float) -> None:
         """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
-        gap = now - self.seen
+        gap = now - self.updated_at
         if gap > 0:
             fade = math.exp(-gap / EVIDENCE_DECAY_MS)
             self.served *= fade
@@ -81,7 +81,7 @@
             self.recent_aims_ms *= third
             self.recent_calls *= third
             self.block_times += self.calls_out * gap
-            self.seen = now
+            self.updated_at = now
 
     def time(self) -> float:
         """How long its calls take now, in aims; 0 where it has served none of late."""
