--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -76,7 +76,7 @@
     crowd, one = Crowd(1), server("a")
     work(crowd, one, 600, 6, 0.1, START)
     assert crowd.most(one) > LEAST
-    one.forget(START + 60_000)
+    one.reset_evidence(START + 60_000)
     assert crowd.most(one) == LEAST
 
 
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -131,7 +131,7 @@
             if member.up_since_ms > server.member.up_since_ms or size != server.size:
                 self._set_eligible(server, False)  # what it is drawn by changes
             if member.up_since_ms > server.member.up_since_ms:
-                server.forget(now)  # the same name, a new process
+                server.reset_evidence(now)  # the same name, a new process
             server.member, server.size = member, size
             server.listed_ready = member.readiness is face.Readiness.READY
             self._set_eligible(server, server.listed_ready and member.server not in self._detached)
@@ -153,7 +153,7 @@
         if server is not None and (was_out or server.reattached_at < event.at_ms):
             server.reattached_at = max(server.reattached_at, event.at_ms)
             self._set_eligible(server, False)
-            server.forget(now)
+            server.reset_evidence(now)
             self._set_eligible(server, server.listed_ready)
             self._back.append(server)
 
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -51,9 +51,9 @@
         self.bucket: _Bucket | None = None  # while it is kept to
         self.index = 0  # in its bucket
         self.counted = 0.0  # calls of it that count as in memory while it is not kept to
-        self.forget(now)
+        self.reset_evidence(now)
 
-    def forget(self, now: float) -> None:
+    def reset_evidence(self, now: float) -> None:
         """Drop the evidence: the process behind the name is a new one."""
         self.served, self.busy, self.updated_at = 0.0, 0.0, now
         self.turn_ends, self.has_turn = now, False  # see slow_start.py
