--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -71,7 +71,7 @@
         if part >= 1:
             return gap * part >= window
         # Not a call at once and then one each 1 / part windows: the first calls of all would come together.
-        if now >= server.turn_ends:
-            owed = min((now - server.turn_ends) / window + 1, MOST_OWED)
-            server.turn_ends, server.has_turn = now + window, self._chance.random() < part * owed
+        if now >= server.cold_window_ends_at:
+            owed = min((now - server.cold_window_ends_at) / window + 1, MOST_OWED)
+            server.cold_window_ends_at, server.has_turn = now + window, self._chance.random() < part * owed
         return server.has_turn and gap >= window
