--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -56,7 +56,7 @@
     def reset_evidence(self, now: float) -> None:
         """Drop the evidence: the process behind the name is a new one."""
         self.served, self.busy, self.updated_at = 0.0, 0.0, now
-        self.cold_window_ends_at, self.has_turn = now, False  # see slow_start.py
+        self.cold_window_ends_at, self.may_send_when_cold = now, False  # see slow_start.py
         self.mean_calls_out = float(
             self.calls_out
         )  # our calls there, in the mean over a third of that memory
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -73,5 +73,8 @@
         # Not a call at once and then one each 1 / part windows: the first calls of all would come together.
         if now >= server.cold_window_ends_at:
             owed = min((now - server.cold_window_ends_at) / window + 1, MOST_OWED)
-            server.cold_window_ends_at, server.has_turn = now + window, self._chance.random() < part * owed
-        return server.has_turn and gap >= window
+            server.cold_window_ends_at, server.may_send_when_cold = (
+                now + window,
+                self._chance.random() < part * owed,
+            )
+        return server.may_send_when_cold and gap >= window
