--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -84,10 +84,10 @@
     st.integers(1, 7), st.floats(0, 200), st.floats(0, 200), st.one_of(st.just(math.inf), st.floats(0.1, 50))
 )
 def test_a_full_server_gets_nothing_and_an_idle_one_always_something(
-    balancers: int, carries: float, before: float, ceiling: float
+    balancers: int, concurrency_limit: float, before: float, ceiling: float
 ) -> None:
     crowd, one = Crowd(balancers), server("a")
-    one.carries, one.mean_calls_out, one.ceiling = carries, before, ceiling
+    one.concurrency_limit, one.mean_calls_out, one.ceiling = concurrency_limit, before, ceiling
     sent = fill(crowd, one, START)
     most = crowd.most(one)
     assert most <= ceiling
@@ -247,7 +247,7 @@
     fleet = Fleet(4)
     fleet.choked = set(fleet.names)
     for one in fleet.views[0]:
-        one.carries = 10.0
+        one.concurrency_limit = 10.0
     fleet.run(20)
     assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROW)] * 4
 
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -28,7 +28,7 @@
                 s.served,
                 s.busy,
                 s.usual_time,
-                s.carries,
+                s.concurrency_limit,
                 s.ceiling,
             )
             for s in known[:MOST]
@@ -54,4 +54,4 @@
         if known is None or known.since_ms != server.member.up_since_ms or server.served:
             return
         server.served, server.busy, server.usual_time = known.served, known.busy, known.usual_time
-        server.carries, server.ceiling = known.carries, known.ceiling
+        server.concurrency_limit, server.ceiling = known.concurrency_limit, known.ceiling
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -281,13 +281,13 @@
     served: float
     busy: float
     usual_time: float
-    carries: float
+    concurrency_limit: float
     ceiling: float
 
     def __post_init__(self) -> None:
-        for field in ("since_ms", "served", "busy", "usual_time", "carries"):
+        for field in ("since_ms", "served", "busy", "usual_time", "concurrency_limit"):
             _require(math.isfinite(getattr(self, field)), field, "must be finite")
-        for field in ("served", "busy", "usual_time", "carries"):
+        for field in ("served", "busy", "usual_time", "concurrency_limit"):
             _require(getattr(self, field) >= 0, field, "must not be negative")
         _require(self.ceiling > 0, "ceiling", "must be above 0")
 
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -78,7 +78,7 @@
         self._before = time(self._group)
         for server in self._group:  # it choked with what it could hold, unless it was far from that
             server.rests_until = self._until
-            server.ceiling = EASED * min(max(server.carries / GROW, least), server.ceiling)
+            server.ceiling = EASED * min(max(server.concurrency_limit / GROW, least), server.ceiling)
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
