--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -14,7 +14,9 @@
     servers = []
     for known in learned.servers:
         values = astuple(known)
-        servers.append([*values[:-1], None if math.isinf(known.ceiling) else known.ceiling])
+        servers.append(
+            [*values[:-1], None if math.isinf(known.concurrency_ceiling) else known.concurrency_ceiling]
+        )
     return json.dumps({"base": learned.base, "servers": servers}, separators=(",", ":")).encode()
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -84,13 +84,17 @@
     st.integers(1, 7), st.floats(0, 200), st.floats(0, 200), st.one_of(st.just(math.inf), st.floats(0.1, 50))
 )
 def test_a_full_server_gets_nothing_and_an_idle_one_always_something(
-    balancers: int, concurrency_limit: float, before: float, ceiling: float
+    balancers: int, concurrency_limit: float, before: float, concurrency_ceiling: float
 ) -> None:
     crowd, one = Crowd(balancers), server("a")
-    one.concurrency_limit, one.mean_calls_out, one.ceiling = concurrency_limit, before, ceiling
+    one.concurrency_limit, one.mean_calls_out, one.concurrency_ceiling = (
+        concurrency_limit,
+        before,
+        concurrency_ceiling,
+    )
     sent = fill(crowd, one, START)
     most = crowd.most(one)
-    assert most <= ceiling
+    assert most <= concurrency_ceiling
     assert 1 <= sent <= max(math.ceil(most), 1)
     for step in range(1, 200):  # calls that end are replaced while there is room
         now = START + step * 100
@@ -188,7 +192,7 @@
         "most servers are slow",
         "a rest was of no use",
     ]
-    assert all(s.ceiling == math.inf for s in fleet.views[0])
+    assert all(s.concurrency_ceiling == math.inf for s in fleet.views[0])
 
 
 def test_one_slow_server_is_left_to_the_draws() -> None:
@@ -249,7 +253,7 @@
     for one in fleet.views[0]:
         one.concurrency_limit = 10.0
     fleet.run(20)
-    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROW)] * 4
+    assert [s.concurrency_ceiling for s in fleet.views[0]] == [pytest.approx(EASED * 10.0 / GROW)] * 4
 
 
 def test_a_fleet_of_one_never_rests() -> None:
--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -34,7 +34,7 @@
 
     def most(self, server: Server) -> float:
         """How many of our calls it may hold in the mean."""
-        return min(max(server.concurrency_limit, self.least), server.ceiling)
+        return min(max(server.concurrency_limit, self.least), server.concurrency_ceiling)
 
     def has_room(self, server: Server, now: float) -> bool:
         """Whether it can take a call: its mean stays under what it may hold, and bursts too but for one."""
@@ -61,6 +61,6 @@
             server.concurrency_limit = SHRINK * most
         elif time <= KEPT * usual and held >= NEAR * most:
             server.concurrency_limit = GROW * held
-            server.ceiling *= EASE
+            server.concurrency_ceiling *= EASE
         if time < LOST * usual:  # else something is wrong with it: the usual time stands meanwhile
             server.usual_time = usual + (DOWN if time < usual else UP) * (time - usual)
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -29,7 +29,7 @@
                 s.busy,
                 s.usual_time,
                 s.concurrency_limit,
-                s.ceiling,
+                s.concurrency_ceiling,
             )
             for s in known[:MOST]
         ),
@@ -54,4 +54,7 @@
         if known is None or known.since_ms != server.member.up_since_ms or server.served:
             return
         server.served, server.busy, server.usual_time = known.served, known.busy, known.usual_time
-        server.concurrency_limit, server.ceiling = known.concurrency_limit, known.ceiling
+        server.concurrency_limit, server.concurrency_ceiling = (
+            known.concurrency_limit,
+            known.concurrency_ceiling,
+        )
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -282,14 +282,14 @@
     busy: float
     usual_time: float
     concurrency_limit: float
-    ceiling: float
+    concurrency_ceiling: float
 
     def __post_init__(self) -> None:
         for field in ("since_ms", "served", "busy", "usual_time", "concurrency_limit"):
             _require(math.isfinite(getattr(self, field)), field, "must be finite")
         for field in ("served", "busy", "usual_time", "concurrency_limit"):
             _require(getattr(self, field) >= 0, field, "must not be negative")
-        _require(self.ceiling > 0, "ceiling", "must be above 0")
+        _require(self.concurrency_ceiling > 0, "concurrency_ceiling", "must be above 0")
 
 
 @dataclass(frozen=True, slots=True)
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -78,7 +78,9 @@
         self._before = time(self._group)
         for server in self._group:  # it choked with what it could hold, unless it was far from that
             server.rests_until = self._until
-            server.ceiling = EASED * min(max(server.concurrency_limit / GROW, least), server.ceiling)
+            server.concurrency_ceiling = EASED * min(
+                max(server.concurrency_limit / GROW, least), server.concurrency_ceiling
+            )
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
@@ -90,7 +92,7 @@
             if now >= self._sure_until:
                 self._off_until = now + OFF_MS
                 for server in group:
-                    server.ceiling = math.inf
+                    server.concurrency_ceiling = math.inf
                 return "a rest was of no use: the servers are slow, not choked"
             self._span = min(LONGER * self._span, LONGEST_MS)
             return f"a rest was too short; the next takes {self._span / 1000:.1f} s"
@@ -103,7 +105,7 @@
     def _free(self, now: float) -> None:
         self._until = now
         for server in self._group:
-            server.rests_until, server.ceiling = now, math.inf
+            server.rests_until, server.concurrency_ceiling = now, math.inf
         self._group = []
 
 
