--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -81,7 +81,7 @@
     old, new = balancer(Member("a"), Member("b")), balancer(Member("a"), Member("b"))
     busy(old, 300, 2_000.0)
     learned = old.learned(5_000.0)
-    assert learned.base > 0 and all(k.usual_time > 0 for k in learned.servers)
+    assert learned.base > 0 and all(k.baseline_time > 0 for k in learned.servers)
     new.handle(learned, 5_000.0)
     assert new.learned(5_000.0) == learned
     busy(new, 20, 5_000.0)
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -125,7 +125,7 @@
     def look(self, number: int, short: bool = True, least: float = 2.5) -> str:
         for one in self.views[number]:
             resting = one.rests_until > self.now
-            one.usual_time, one.updated_at = 0.1, self.now
+            one.baseline_time, one.updated_at = 0.1, self.now
             one.recent_calls = 0.0 if resting else 20.0
             one.recent_aims_ms = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -55,7 +55,7 @@
             return
         time, held = server.block_times / server.block_aims, server.block_times / span
         server.block_calls, server.block_aims, server.block_times, server.block_from = 0, 0.0, 0.0, now
-        usual = server.usual_time or time
+        usual = server.baseline_time or time
         most = self.most(server)
         if time > LOST * usual:
             server.concurrency_limit = SHRINK * most
@@ -63,4 +63,4 @@
             server.concurrency_limit = GROW * held
             server.concurrency_ceiling *= EASE
         if time < LOST * usual:  # else something is wrong with it: the usual time stands meanwhile
-            server.usual_time = usual + (DOWN if time < usual else UP) * (time - usual)
+            server.baseline_time = usual + (DOWN if time < usual else UP) * (time - usual)
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -16,7 +16,7 @@
     known = []
     for server in servers:
         server.catch_up(now)
-        if server.served or server.usual_time:
+        if server.served or server.baseline_time:
             known.append(server)
     known.sort(key=lambda s: -s.served)
     return face.LearnedState(
@@ -27,7 +27,7 @@
                 s.member.up_since_ms,
                 s.served,
                 s.busy,
-                s.usual_time,
+                s.baseline_time,
                 s.concurrency_limit,
                 s.concurrency_ceiling,
             )
@@ -53,7 +53,7 @@
         known = self._known.pop(server.member.server, None) if self._known else None
         if known is None or known.since_ms != server.member.up_since_ms or server.served:
             return
-        server.served, server.busy, server.usual_time = known.served, known.busy, known.usual_time
+        server.served, server.busy, server.baseline_time = known.served, known.busy, known.baseline_time
         server.concurrency_limit, server.concurrency_ceiling = (
             known.concurrency_limit,
             known.concurrency_ceiling,
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -280,14 +280,14 @@
     since_ms: float  # when its process started, so that nothing is believed of another one
     served: float
     busy: float
-    usual_time: float
+    baseline_time: float
     concurrency_limit: float
     concurrency_ceiling: float
 
     def __post_init__(self) -> None:
-        for field in ("since_ms", "served", "busy", "usual_time", "concurrency_limit"):
+        for field in ("since_ms", "served", "busy", "baseline_time", "concurrency_limit"):
             _require(math.isfinite(getattr(self, field)), field, "must be finite")
-        for field in ("served", "busy", "usual_time", "concurrency_limit"):
+        for field in ("served", "busy", "baseline_time", "concurrency_limit"):
             _require(getattr(self, field) >= 0, field, "must not be negative")
         _require(self.concurrency_ceiling > 0, "concurrency_ceiling", "must be above 0")
 
--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -111,12 +111,12 @@
 
 def tells(server: Server) -> bool:
     """Whether it has served enough of late to be judged."""
-    return server.recent_calls >= LEAST_CALLS and server.usual_time > 0
+    return server.recent_calls >= LEAST_CALLS and server.baseline_time > 0
 
 
 def takes_long(server: Server, than: float = SLOW) -> bool:
     """Whether it takes so many times its usual time."""
-    return tells(server) and server.time() >= than * server.usual_time
+    return tells(server) and server.time() >= than * server.baseline_time
 
 
 def are_most(servers: list[Server], slow: bool, than: float) -> bool:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -60,7 +60,7 @@
         self.mean_calls_out = float(
             self.calls_out
         )  # our calls there, in the mean over a third of that memory
-        self.concurrency_limit, self.usual_time = 0.0, 0.0  # see crowd.py; 0: not known
+        self.concurrency_limit, self.baseline_time = 0.0, 0.0  # see crowd.py; 0: not known
         self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
         self.concurrency_ceiling, self.rests_until = math.inf, 0.0  # see rest.py
         self.block_calls, self.block_aims, self.block_times, self.block_from = 0, 0.0, 0.0, now
