--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -51,7 +51,7 @@
     def give(self, server: Server) -> None:
         """Tell a server what was known of its process, unless it has shown something itself."""
         known = self._known.pop(server.member.server, None) if self._known else None
-        if known is None or known.since_ms != server.member.up_since_ms or server.served:
+        if known is None or known.started_at_ms != server.member.up_since_ms or server.served:
             return
         server.served, server.busy, server.baseline_time = known.served, known.busy, known.baseline_time
         server.concurrency_limit, server.concurrency_ceiling = (
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -277,7 +277,7 @@
     """What a balancer has learned of one server: evidence on its capacity, its usual time, what it may hold."""
 
     server: str
-    since_ms: float  # when its process started, so that nothing is believed of another one
+    started_at_ms: float  # when its process started, so that nothing is believed of another one
     served: float
     busy: float
     baseline_time: float
@@ -285,7 +285,7 @@
     concurrency_ceiling: float
 
     def __post_init__(self) -> None:
-        for field in ("since_ms", "served", "busy", "baseline_time", "concurrency_limit"):
+        for field in ("started_at_ms", "served", "busy", "baseline_time", "concurrency_limit"):
             _require(math.isfinite(getattr(self, field)), field, "must be finite")
         for field in ("served", "busy", "baseline_time", "concurrency_limit"):
             _require(getattr(self, field) >= 0, field, "must not be negative")
