--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -94,7 +94,7 @@
             "servers": size,
             "us_a_request": round(statistics.median(spent[size]), 1),
             "times_12": round(statistics.median(spent[size]) / base, 2),
-            "kept": bench.balancer._fleet.keeps if hasattr(bench.balancer, "_fleet") else None,
+            "kept": bench.balancer._fleet.subset_size if hasattr(bench.balancer, "_fleet") else None,
             "change_ms": round(statistics.median(changed[size]), 2),
             "change_worst_ms": round(max(changed[size]), 2),
         }
--- a/tests/plain.py
+++ b/tests/plain.py
@@ -19,7 +19,7 @@
     if request.is_out() and not settings.may_duplicate:
         return []
     if ran is None or cls.effect is Effect.REPEATABLE:
-        found = fleet.ready[: fleet.keeps]
+        found = fleet.ready[: fleet.subset_size]
     elif cls.effect is Effect.ONCE or now >= ran.sent + cls.dedup_window_ms - settings.tick_ms:
         return []
     else:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -84,7 +84,7 @@
 )
 def test_picks_are_those_of_the_walk_in_distribution(count: int, spread: float, seed: int) -> None:
     harness = taught(count, spread, seed)
-    assert harness.balancer._fleet.keeps > FEW
+    assert harness.balancer._fleet.subset_size > FEW
     same(harness.balancer, request(), harness.now, PICKS if count < 100 else PICKS // 4)
     harness.now += 4_000  # evidence has faded, nobody has been touched since
     same(harness.balancer, request(), harness.now, PICKS // 8)
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("able", [0, 1, 3])
 def test_the_few_that_are_able_are_found_among_many(able: int) -> None:
     harness = taught(400, 2.0, 9, calls=2_500)
-    kept = harness.balancer._fleet.ready[: harness.balancer._fleet.keeps]
+    kept = harness.balancer._fleet.ready[: harness.balancer._fleet.subset_size]
     assert len(kept) > TRIALS
     asked = request(READ, *((s, True) for s in kept[able:]), now=harness.now)
     found = {harness.balancer._pick(asked, harness.now) for _ in range(300)}
@@ -163,8 +163,8 @@
         harness.update_list(*(Member(f"s{i}") for i in names))
         fleet = harness.balancer._fleet
         assert {s.member.server for s in fleet.ready} == {f"s{i}" for i in names}
-        assert {id(s) for s in fleet.kept} == {id(s) for s in fleet.ready[: fleet.keeps]}
-        assert len(fleet.ready) == 5_000 and all(s.bucket is None for s in fleet.ready[fleet.keeps :])
+        assert {id(s) for s in fleet.kept} == {id(s) for s in fleet.ready[: fleet.subset_size]}
+        assert len(fleet.ready) == 5_000 and all(s.bucket is None for s in fleet.ready[fleet.subset_size :])
         assert len(harness.balancer._servers) == 5_000
 
 
@@ -238,9 +238,9 @@
     def sets_are_whole(self) -> None:
         fleet, ready = self.fleet, self.fleet.ready
         assert [s.rank for s in ready] == sorted(s.rank for s in ready)
-        assert {id(s) for s in fleet.kept} == {id(s) for s in ready[: fleet.keeps]}
-        assert all(s.eligible for s in ready) and all(s.bucket is None for s in ready[fleet.keeps :])
-        for server in ready[: fleet.keeps]:
+        assert {id(s) for s in fleet.kept} == {id(s) for s in ready[: fleet.subset_size]}
+        assert all(s.eligible for s in ready) and all(s.bucket is None for s in ready[fleet.subset_size :])
+        for server in ready[: fleet.subset_size]:
             assert server.bucket is not None and server.bucket.servers[server.index] is server
 
     @invariant()
@@ -260,7 +260,7 @@
         kept = sum(
             s.served * math.exp((s.updated_at - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.kept
         )
-        others = sum(s.counted for s in self.fleet.ready[self.fleet.keeps :])
+        others = sum(s.counted for s in self.fleet.ready[self.fleet.subset_size :])
         assert math.isclose(self.fleet.calls(self.now), kept + others, rel_tol=1e-6, abs_tol=1e-6)
 
 
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -184,7 +184,7 @@
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
         self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * ready
         self._slow_start.learn(
-            self._fleet.ready[: min(self._fleet.keeps, WALK)], self._now
+            self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now
         )  # ranks are drawn
 
     # ---- a request's path -----------------------------------------------------------------------
@@ -359,7 +359,7 @@
         if request.is_out() and not self._settings.may_duplicate:
             return 0, None
         if ran is None or cls.effect is Effect.REPEATABLE:
-            return fleet.keeps, None
+            return fleet.subset_size, None
         if cls.effect is Effect.ONCE or now >= ran.sent + cls.dedup_window_ms - self._settings.tick_ms:
             return 0, None
         sent, first, group = ran.sent, ran.server.member, cls.dedup_scope
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -158,7 +158,7 @@
     def __init__(self) -> None:
         self.ready: list[Server] = []
         self.kept = Draws()
-        self.keeps = 0
+        self.subset_size = 0
         self._lowest = 1.0  # usual capacity since all bounds were set
         # Served calls in memory: of the kept ones as of a moment, of the others as of when they were let go.
         self._kept_calls, self._as_of, self._other_calls = 0.0, 0.0, 0.0
@@ -167,10 +167,10 @@
         """A server is ready."""
         i = bisect(self.ready, server.rank, key=_rank)
         self.ready.insert(i, server)
-        self._take(server, i < self.keeps, usual, now)
+        self._take(server, i < self.subset_size, usual, now)
         server.eligible = True
-        if i < self.keeps < len(self.ready):
-            self._take(self.ready[self.keeps], False, usual, now)
+        if i < self.subset_size < len(self.ready):
+            self._take(self.ready[self.subset_size], False, usual, now)
 
     def leave(self, server: Server, usual: float, now: float) -> None:
         """A server is not ready any more."""
@@ -180,16 +180,16 @@
         del self.ready[i]
         self._let_go(server, now)
         server.eligible = False
-        if i < self.keeps <= len(self.ready):
-            self._take(self.ready[self.keeps - 1], True, usual, now)
+        if i < self.subset_size <= len(self.ready):
+            self._take(self.ready[self.subset_size - 1], True, usual, now)
 
     def keep(self, count: int, usual: float, now: float) -> None:
         """Keep to so many."""
-        for server in self.ready[self.keeps : count]:
+        for server in self.ready[self.subset_size : count]:
             self._take(server, True, usual, now)
-        for server in self.ready[count : self.keeps]:
+        for server in self.ready[count : self.subset_size]:
             self._take(server, False, usual, now)
-        self.keeps = count
+        self.subset_size = count
 
     def calls(self, now: float) -> float:
         """Served calls in memory, over all ready servers."""
