--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -131,12 +131,12 @@
 @pytest.mark.parametrize("able", [0, 1, 3])
 def test_the_few_that_are_able_are_found_among_many(able: int) -> None:
     harness = taught(400, 2.0, 9, calls=2_500)
-    kept = harness.balancer._fleet.ready[: harness.balancer._fleet.subset_size]
-    assert len(kept) > TRIALS
-    asked = request(READ, *((s, True) for s in kept[able:]), now=harness.now)
+    in_subset = harness.balancer._fleet.ready[: harness.balancer._fleet.subset_size]
+    assert len(in_subset) > TRIALS
+    asked = request(READ, *((s, True) for s in in_subset[able:]), now=harness.now)
     found = {harness.balancer._pick(asked, harness.now) for _ in range(300)}
     # where all were tried, any may be again
-    assert found == set(kept[:able]) if able else found <= set(kept) and len(found) > 50
+    assert found == set(in_subset[:able]) if able else found <= set(in_subset) and len(found) > 50
 
 
 def test_where_all_are_cold_and_full_none_is_picked_and_the_look_is_bounded(
@@ -163,7 +163,7 @@
         harness.update_list(*(Member(f"s{i}") for i in names))
         fleet = harness.balancer._fleet
         assert {s.member.server for s in fleet.ready} == {f"s{i}" for i in names}
-        assert {id(s) for s in fleet.kept} == {id(s) for s in fleet.ready[: fleet.subset_size]}
+        assert {id(s) for s in fleet.in_subset} == {id(s) for s in fleet.ready[: fleet.subset_size]}
         assert len(fleet.ready) == 5_000 and all(s.bucket is None for s in fleet.ready[fleet.subset_size :])
         assert len(harness.balancer._servers) == 5_000
 
@@ -238,14 +238,14 @@
     def sets_are_whole(self) -> None:
         fleet, ready = self.fleet, self.fleet.ready
         assert [s.rank for s in ready] == sorted(s.rank for s in ready)
-        assert {id(s) for s in fleet.kept} == {id(s) for s in ready[: fleet.subset_size]}
+        assert {id(s) for s in fleet.in_subset} == {id(s) for s in ready[: fleet.subset_size]}
         assert all(s.eligible for s in ready) and all(s.bucket is None for s in ready[fleet.subset_size :])
         for server in ready[: fleet.subset_size]:
             assert server.bucket is not None and server.bucket.servers[server.index] is server
 
     @invariant()
     def bounds_hold(self) -> None:
-        for server in self.fleet.kept:
+        for server in self.fleet.in_subset:
             assert server.bucket is not None
             for later in (0.0, 3_000.0, 60_000.0):
                 fade = math.exp(-(self.now + later - server.updated_at) / EVIDENCE_DECAY_MS)
@@ -257,11 +257,11 @@
 
     @invariant()
     def calls_are_counted(self) -> None:
-        kept = sum(
-            s.served * math.exp((s.updated_at - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.kept
+        in_subset = sum(
+            s.served * math.exp((s.updated_at - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.in_subset
         )
         others = sum(s.counted for s in self.fleet.ready[self.fleet.subset_size :])
-        assert math.isclose(self.fleet.calls(self.now), kept + others, rel_tol=1e-6, abs_tol=1e-6)
+        assert math.isclose(self.fleet.calls(self.now), in_subset + others, rel_tol=1e-6, abs_tol=1e-6)
 
 
 FleetStays.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -404,7 +404,7 @@
         if self._back and not tried and (back := self._put_back(now)) is not None:
             return back
         if harmless is None and count > FEW and len(self._fleet.ready) > FEW:
-            found = pick.among(self._fleet.kept, fresh)
+            found = pick.among(self._fleet.in_subset, fresh)
             if found is not None:
                 return found
         few = self._look(count, fresh, request) if tried else []
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -157,7 +157,7 @@
 
     def __init__(self) -> None:
         self.ready: list[Server] = []
-        self.kept = Draws()
+        self.in_subset = Draws()
         self.subset_size = 0
         self._lowest = 1.0  # usual capacity since all bounds were set
         # Served calls in memory: of the kept ones as of a moment, of the others as of when they were let go.
@@ -204,7 +204,7 @@
             self.calls(now)
             self._kept_calls += 1
             if not bucket.top / 4 < server.bound(usual * server.size) / server.size <= bucket.top:
-                self.kept.put(server, usual)
+                self.in_subset.put(server, usual)
         elif server.eligible:
             server.counted += 1
             self._other_calls += 1
@@ -212,16 +212,16 @@
     def is_usual(self, usual: float) -> None:
         """The usual capacity has changed."""
         if usual > RISE * self._lowest:
-            for server in self.kept:
-                self.kept.put(server, usual)
+            for server in self.in_subset:
+                self.in_subset.put(server, usual)
             self._lowest = usual
         self._lowest = min(self._lowest, usual)
 
-    def _take(self, server: Server, kept: bool, usual: float, now: float) -> None:
+    def _take(self, server: Server, in_subset: bool, usual: float, now: float) -> None:
         self._let_go(server, now)
-        if kept:
+        if in_subset:
             self._kept_calls += server.served
-            self.kept.put(server, usual)
+            self.in_subset.put(server, usual)
         else:
             server.counted = server.served
             self._other_calls += server.counted
@@ -231,7 +231,7 @@
         server.catch_up(now)
         if server.bucket is not None:
             self._kept_calls = max(self._kept_calls - server.served, 0.0)
-            self.kept.drop(server)
+            self.in_subset.drop(server)
         elif server.eligible:
             self._other_calls = max(self._other_calls - server.counted, 0.0)
 
