--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -179,7 +179,9 @@
     def _choose(self) -> None:
         """Keep to as many servers as our calls can tell of, by ranks of our own: more we know by scraps."""
         calls = self._fleet.calls(self._now)
-        self._fleet.keep(max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now)
+        self._fleet.set_subset_size(
+            max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now
+        )
         ready = len(self._fleet.ready)
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
         self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * ready
