--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -149,7 +149,7 @@
         "passpost.validation",
         "umberworks",
         "umberworks.asking",
-        "umberworks.books",
+        "umberworks.call_tracker",
         "umberworks.crowd",
         "umberworks.inherit",
         "umberworks.interface",
--- a/umberworks/books.py
+++ b/umberworks/call_tracker.py
@@ -12,7 +12,7 @@
 from umberworks.servers import Fleet, Server
 
 
-class Books:
+class CallTracker:
     """Counts a call from when its server has it until it ends; a failure's slot stays to its time-out."""
 
     def __init__(self, room: Room, fleet: Fleet, crowd: Crowd) -> None:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -13,7 +13,7 @@
 
 from umberworks import interface as face
 from umberworks.asking import Asking
-from umberworks.books import Books
+from umberworks.call_tracker import CallTracker
 from umberworks.crowd import Crowd
 from umberworks.inherit import Heritage, told
 from umberworks.interface import DedupScope, Effect, ListKind, Outcome
@@ -58,7 +58,7 @@
         self._room = Room(settings.balancers)
         self._crowd = Crowd(settings.balancers, settings.calling_tier)
         self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
-        self._books = Books(self._room, self._fleet, self._crowd)
+        self._call_tracker = CallTracker(self._room, self._fleet, self._crowd)
         self._tries = {c.name: Tries() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
         self._shares = Shares(settings.tenants, settings.balancers)
@@ -74,7 +74,7 @@
             self._asked = True
             wait = self._asking.first()
             self._actions.append(face.SetTimer(now + wait, "list") if wait else face.Subscribe())
-        self._books.release(now)
+        self._call_tracker.release(now)
         self._room.catch_up(now)
         self._now = max(self._now, now)
         match event:
@@ -278,7 +278,7 @@
         attempt = Attempt(server, now, timeout)
         request.attempts.append(attempt)
         if not request.is_coming:  # else its server has nothing to do yet
-            self._books.out(attempt, now)
+            self._call_tracker.out(attempt, now)
         self._actions.append(face.Send(request.id, server.member.server, timeout))
         if self._room.mean and self._settings.may_duplicate and request.may_repeat():
             patience = PATIENCE * self._room.mean * request.cls.aim_ms
@@ -296,7 +296,7 @@
         if not attempt.out:
             return
         attempt.out, attempt.ran = False, event.outcome not in face.NEVER_RAN
-        self._books.ended(attempt, event.outcome, request.cls, self._median or 1.0, now)
+        self._call_tracker.ended(attempt, event.outcome, request.cls, self._median or 1.0, now)
         if event.answered:
             request.owed = False
             self._cancel_rest(request)
@@ -310,7 +310,7 @@
         self._cancel_rest(request, attempt)
         request.streaming, request.owed = True, False
         if not request.cls.streamed:
-            self._books.ended(attempt, Outcome.SERVED, request.cls, self._median or 1.0, now)
+            self._call_tracker.ended(attempt, Outcome.SERVED, request.cls, self._median or 1.0, now)
 
     def _body_ended(self, event: face.BodyEnded, now: float) -> None:
         """The request is whole: its time runs, and its server has work."""
@@ -322,7 +322,7 @@
             if attempt.out:
                 timeout = request.timeout(now)
                 attempt.ends = now + timeout
-                self._books.out(attempt, now)
+                self._call_tracker.out(attempt, now)
                 self._actions.append(face.SetAttemptTimeout(request.id, i, timeout))
 
     def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
