--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -17,7 +17,7 @@
 from passpost.streams import Sink, Source
 from passpost.upstreams.attempt import Attempt, Outgoing
 from passpost.upstreams.pool import Upstreams
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.interface import Outcome
 from umberworks.rules import Balancer
 
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        settings: face.Settings,
+        settings: interface.Settings,
         seed: int,
         upstreams: Upstreams,
         subscribe: Callable[[], None],
@@ -84,7 +84,7 @@
         self._upstreams, self._subscribe, self._grace = upstreams, subscribe, answer_grace
         self._requests: dict[int, _Open] = {}
         self._count = 0
-        self._events: deque[face.Event] = deque()
+        self._events: deque[interface.Event] = deque()
         self._handling = False
         # The module takes an `up_since_ms` of 0 or less for long ago and compares others with its clock: it
         # needs Unix time. The system's clock may be set back, so that it is read only once.
@@ -105,26 +105,26 @@
 
     # ---- happenings
 
-    def listed(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
+    def listed(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """News of the list; the addresses come first, as the module may send at once."""
         self._upstreams.route(addresses)
         self._listed(update)
 
-    def listed_part(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
+    def listed_part(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Changes of the list, with the addresses of those that have changed only."""
         self._upstreams.reroute([m.server for m in update.members], addresses)
         self._listed(update)
 
-    def _listed(self, update: face.ListUpdate) -> None:
-        if update.kind in (face.ListKind.SAVED, face.ListKind.WHOLE):
+    def _listed(self, update: interface.ListUpdate) -> None:
+        if update.kind in (interface.ListKind.SAVED, interface.ListKind.WHOLE):
             self._leaving.clear()
         for member in update.members:
-            if member.readiness is face.Readiness.DRAINING:
+            if member.readiness is interface.Readiness.DRAINING:
                 self._leaving.add(member.server)
             else:
                 self._leaving.discard(member.server)
         self.has_upstreams = self.has_upstreams or any(
-            m.readiness is face.Readiness.READY for m in update.members
+            m.readiness is interface.Readiness.READY for m in update.members
         )
         self._post(update)
 
@@ -146,9 +146,9 @@
         if not is_open:
             self._guard(number, request, remaining)
         if upload is not None:
-            upload.on_spent = lambda: self._post(face.BodyDiscarded(number))
+            upload.on_spent = lambda: self._post(interface.BodyDiscarded(number))
         self._post(
-            face.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
+            interface.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
         )
         return number
 
@@ -162,15 +162,18 @@
         request = self._requests.get(number)
         if request is not None and not request.finished:
             self._guard(number, request, remaining)
-            self._post(face.BodyEnded(number, remaining * 1000))
+            self._post(interface.BodyEnded(number, remaining * 1000))
         elif request is not None and request.started is not None and not self._lasting:
             self._guard(number, request, remaining)  # its answer began before
 
-    def told(self, event: face.Detached | face.Attached | face.LearnedState | face.DiscoveryMoved) -> None:
+    def told(
+        self,
+        event: interface.Detached | interface.Attached | interface.LearnedState | interface.DiscoveryMoved,
+    ) -> None:
         """An operator's word on a server, what an older version has learned, or that the list has moved."""
         self._post(event)
 
-    def learned(self) -> face.LearnedState:
+    def learned(self) -> interface.LearnedState:
         """What a version that takes over from this one should know."""
         return self._balancer.learned(self.now())
 
@@ -185,7 +188,7 @@
         if request.started is not None:
             request.started.cancel()
         elif self._finish(number, request):
-            self._post(face.ClientDisconnected(number))
+            self._post(interface.ClientDisconnected(number))
 
     def _overdue(self, number: int) -> None:
         """The module owes an answer in time; should it ever miss one, the caller still gets it.
@@ -209,11 +212,11 @@
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.caller.fail(status)
-            self._post(face.ClientDisconnected(number))
+            self._post(interface.ClientDisconnected(number))
 
     # ---- the module
 
-    def _post(self, event: face.Event) -> None:
+    def _post(self, event: interface.Event) -> None:
         """Hand over an event; those that come up while one is handled wait for their turn."""
         self._events.append(event)
         if self._handling:
@@ -225,7 +228,7 @@
         finally:
             self._handling = False
 
-    def _handle(self, event: face.Event) -> None:
+    def _handle(self, event: interface.Event) -> None:
         # A fault in one request must fail that request only: the others and the process go on.
         try:
             actions = self._balancer.handle(event, self.now())
@@ -240,47 +243,47 @@
                 log.exception("could not carry out %s", type(action).__name__)
                 self._fault(action)
 
-    def _fault(self, cause: face.Event | face.Action) -> None:
+    def _fault(self, cause: interface.Event | interface.Action) -> None:
         number = getattr(cause, "request", None)
         if number is not None:
             self._abandon(number, 500)
 
-    def _carry_out(self, action: face.Action) -> None:
+    def _carry_out(self, action: interface.Action) -> None:
         match action:
-            case face.Send():
+            case interface.Send():
                 self._send(action)
-            case face.SetTimer(at, token):
+            case interface.SetTimer(at, token):
                 delay = max(at - self.now(), 0.0) / 1000
                 asyncio.get_running_loop().call_later(delay, self._due, at, token)
-            case face.Cancel(number, index):
+            case interface.Cancel(number, index):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.cancel()
-            case face.SetAttemptTimeout(number, index, timeout):
+            case interface.SetAttemptTimeout(number, index, timeout):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.limit(timeout / 1000)
-            case face.Refuse(number, retry_after):
+            case interface.Refuse(number, retry_after):
                 request = self._requests.get(number)
                 if request is not None and self._finish(number, request):
                     request.caller.refuse(retry_after)
-            case face.Fail(number):
+            case interface.Fail(number):
                 request = self._requests.get(number)
                 if request is not None and self._finish(number, request):
                     if request.error is not None:
                         request.caller.serve(request.error)
                     else:
                         request.caller.fail(request.status)
-            case face.Subscribe():
+            case interface.Subscribe():
                 self._subscribe()
-            case face.Log(text):
+            case interface.Log(text):
                 log.info("%s", text)
 
     def _due(self, at: float, token: str) -> None:
         self._now = max(self._now, at)  # the loop's timers are coarse and may be a little early
-        self._post(face.TimerDue(token))
+        self._post(interface.TimerDue(token))
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: interface.Send) -> None:
         number, server = action.request, action.server
         request = self._requests[number]
         index = len(request.attempts)
@@ -326,7 +329,7 @@
         request.started = request.attempts[index]
         self._finish(number, request)
         sink = request.caller.begin(answer, length, source)
-        self._post(face.ResponseStarted(number, index))
+        self._post(interface.ResponseStarted(number, index))
         return sink
 
     def _ended(
@@ -348,7 +351,7 @@
                 request.caller.serve(answer)
         finally:  # the module is owed the outcome, whatever became of the answer
             self._forget_if_over(number, request)
-            self._post(face.AttemptEnded(number, index, server, outcome, request.finished))
+            self._post(interface.AttemptEnded(number, index, server, outcome, request.finished))
 
     def _finish(self, number: int, request: _Open) -> bool:
         """Note the end of a request; True the first time, which is when its answer goes out.
--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -10,7 +10,7 @@
 import logging
 from collections import Counter
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.requests import Request
 from umberworks.rules import Balancer
 
@@ -22,23 +22,23 @@
 class Recorded(Balancer):
     """Decides as its base does, and writes a line of figures each second in which something happens."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._next_line = 0.0
         self._counts: Counter[str] = Counter()
         self._for_room = False
-        self._event: face.Event | None = None
+        self._event: interface.Event | None = None
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
+    def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         """As the base; counts what it decides."""
         self._event = event
         match event:
-            case face.RequestArrived():
+            case interface.RequestArrived():
                 self._counts["arrived"] += 1
-            case face.AttemptEnded():
+            case interface.AttemptEnded():
                 self._counts[event.outcome.value.replace(" ", "_")] += 1
         actions = super().handle(event, now)
-        self._counts["sent"] += sum(isinstance(action, face.Send) for action in actions)
+        self._counts["sent"] += sum(isinstance(action, interface.Send) for action in actions)
         if now >= self._next_line:
             self._next_line = now + EVERY_MS
             log.info("figures %s", self.line(now))
@@ -79,9 +79,9 @@
 
     def _give_up(self, request: Request) -> None:
         match self._event:
-            case face.RequestArrived():
+            case interface.RequestArrived():
                 why = "no_crowd" if self._for_room else "no_connection"
-            case face.TimerDue():
+            case interface.TimerDue():
                 why = "no_room"
             case _:
                 why = "no_savings" if self._retries < 1 else "no_try_left"
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -23,7 +23,7 @@
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import Config, Ending, Running, Stage
 from passpost.rehearsal.world import Night, World
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.rules import Balancer
 
 T = TypeVar("T")
@@ -35,17 +35,17 @@
     """A module that decides as `base` does and writes down each routing decision, one line for each."""
 
     class Recorded(base):  # type: ignore[misc, valid-type]
-        def handle(self, event: face.Event, at: float) -> list[face.Action]:
-            actions: list[face.Action] = super().handle(event, at)
+        def handle(self, event: interface.Event, at: float) -> list[interface.Action]:
+            actions: list[interface.Action] = super().handle(event, at)
             for action in actions:
                 match action:
-                    case face.Send(request, server, timeout):
+                    case interface.Send(request, server, timeout):
                         sink(f"{now():.6f} {name} {request} send {server} {timeout:.3f}")
-                    case face.Cancel(request, attempt):
+                    case interface.Cancel(request, attempt):
                         sink(f"{now():.6f} {name} {request} cancel {attempt}")
-                    case face.Refuse(request, away):
+                    case interface.Refuse(request, away):
                         sink(f"{now():.6f} {name} {request} refuse - {away:.3f}")
-                    case face.Fail(request):
+                    case interface.Fail(request):
                         sink(f"{now():.6f} {name} {request} fail -")
             return actions
 
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -11,7 +11,7 @@
 from passpost.ops.counting import CountingEngine
 from passpost.trace.model import End, Entry, Try, write
 from passpost.upstreams.attempt import Outgoing
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.interface import Outcome
 
 log = logging.getLogger(__name__)
@@ -63,17 +63,17 @@
         outgoing.written = note
         return super().arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
-    def _carry_out(self, action: face.Action) -> None:
+    def _carry_out(self, action: interface.Action) -> None:
         match action:
-            case face.Refuse(number):
+            case interface.Refuse(number):
                 self._note_end(number, End.REFUSED)
-            case face.Fail(number):
+            case interface.Fail(number):
                 self._note_end(number, End.FAILED)
-            case face.Send(number) if (trace := self._traces.get(number)) is not None:
+            case interface.Send(number) if (trace := self._traces.get(number)) is not None:
                 trace.sent[len(self._requests[number].attempts)] = self.now()
         super()._carry_out(action)
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: interface.Send) -> None:
         super()._send(action)
         # On a connection that was there it went out before it had its place.
         self._note_written(action.request)
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -11,7 +11,7 @@
 from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Night
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.rules import Balancer
 from umberworks.slow_start import SlowStart
 
@@ -47,11 +47,11 @@
 class ServesTwice(Balancer):
     """Sends every tenth request a second time, whatever its class."""
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
+    def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         found = []
         for action in super().handle(event, now):
             found.append(action)
-            if isinstance(action, face.Send) and action.request % 10 == 0:
+            if isinstance(action, interface.Send) and action.request % 10 == 0:
                 found.append(action)
         return found
 
@@ -59,13 +59,15 @@
 class IgnoresDrains(Balancer):
     """Takes every node that the list still names for ready."""
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
-        if isinstance(event, face.ListUpdate):
+    def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
+        if isinstance(event, interface.ListUpdate):
             members = tuple(
-                replace(m, readiness=face.Readiness.READY) if m.readiness is face.Readiness.DRAINING else m
+                replace(m, readiness=interface.Readiness.READY)
+                if m.readiness is interface.Readiness.DRAINING
+                else m
                 for m in event.members
             )
-            event = face.ListUpdate(event.kind, members)
+            event = interface.ListUpdate(event.kind, members)
         return super().handle(event, now)
 
 
@@ -80,7 +82,7 @@
 class FloodsTheCold(Balancer):
     """Takes a node that has just started for the best of all."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._slow_start = _AllWarm(settings, self._random)
 
--- a/umberworks/call_tracker.py
+++ b/umberworks/call_tracker.py
@@ -4,7 +4,7 @@
 
 from heapq import heappop, heappush
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.crowd import Crowd
 from umberworks.interface import Outcome
 from umberworks.requests import Attempt
@@ -29,7 +29,7 @@
         self._room.out += 1
 
     def ended(
-        self, attempt: Attempt, outcome: Outcome, cls: face.RequestClass, usual: float, now: float
+        self, attempt: Attempt, outcome: Outcome, cls: interface.RequestClass, usual: float, now: float
     ) -> None:
         """Count a served call; hold a failure's slot to its full time-out: it must not look idle."""
         if not attempt.counted:
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.room import Room
 from umberworks.servers import Server
 
 MOST = 4_096  # servers told of, those with the most evidence: more would hold up requests for over 10 ms
 
 
-def told(room: Room, servers: Iterable[Server], now: float) -> face.LearnedState:
+def told(room: Room, servers: Iterable[Server], now: float) -> interface.LearnedState:
     """What is known now."""
     known = []
     for server in servers:
@@ -19,10 +19,10 @@
         if server.served or server.baseline_time:
             known.append(server)
     known.sort(key=lambda s: -s.served)
-    return face.LearnedState(
+    return interface.LearnedState(
         room.base,
         tuple(
-            face.ServerEstimate(
+            interface.ServerEstimate(
                 s.member.server,
                 s.member.up_since_ms,
                 s.served,
@@ -40,9 +40,9 @@
     """What was handed to this version, until each server that it tells of is listed."""
 
     def __init__(self) -> None:
-        self._known: dict[str, face.ServerEstimate] = {}
+        self._known: dict[str, interface.ServerEstimate] = {}
 
-    def take(self, event: face.LearnedState, room: Room) -> None:
+    def take(self, event: interface.LearnedState, room: Room) -> None:
         """Believe it where nothing better is known."""
         if not room.base and event.base:
             room.base = room.mean = event.base
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 LONG_MS = 60_000.0  # what a kind has shown fades by 1/e over this: a kind stays what it is
@@ -28,11 +28,11 @@
         self._shown: dict[str, tuple[float, float]] = {}  # of each kind: calls, and the time that they took
         self._seen = 0.0
 
-    def base(self, member: face.Member) -> float:
+    def base(self, member: interface.Member) -> float:
         """What the list says of a server's size."""
         return member.size if self._exact else 1.0
 
-    def size(self, member: face.Member) -> float:
+    def size(self, member: interface.Member) -> float:
         """That, by what its kind has shown."""
         return self.base(member) * self._factors.get(member.kind, 1.0)
 
--- a/umberworks/requests.py
+++ b/umberworks/requests.py
@@ -5,7 +5,7 @@
 import math
 from collections import Counter
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.interface import Effect
 from umberworks.servers import Server
 
@@ -39,7 +39,7 @@
 class Request:
     """One request, from its arrival until it is answered and no attempt is out."""
 
-    def __init__(self, event: face.RequestArrived, cls: face.RequestClass, now: float) -> None:
+    def __init__(self, event: interface.RequestArrived, cls: interface.RequestClass, now: float) -> None:
         self.id, self.cls = event.request, cls
         self.deadline, self.aim_at = now + event.remaining_ms, now + cls.aim_ms
         self.late_by = 0.0  # how long before it the first try came
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.asking import Asking
 from umberworks.call_tracker import CallTracker
 from umberworks.crowd import Crowd
@@ -44,7 +44,7 @@
 class Balancer:
     """The decisions of one balancer instance: feed it events in order, carry out the actions it returns."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
         self._random, self._fleet = random.Random(seed), Fleet()
@@ -65,57 +65,57 @@
         self._asking = Asking(settings, self._random)
         self._asked, self._counted, self._sliver = False, False, False
         self._refusing_until = -math.inf
-        self._actions: list[face.Action] = []
+        self._actions: list[interface.Action] = []
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
+    def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         """Take one event at time `now` and return what to do, in order."""
         self._actions = []
-        if self._settings.pulls_list and (isinstance(event, face.DiscoveryMoved) or not self._asked):
+        if self._settings.pulls_list and (isinstance(event, interface.DiscoveryMoved) or not self._asked):
             self._asked = True
             wait = self._asking.first()
-            self._actions.append(face.SetTimer(now + wait, "list") if wait else face.Subscribe())
+            self._actions.append(interface.SetTimer(now + wait, "list") if wait else interface.Subscribe())
         self._call_tracker.release(now)
         self._room.catch_up(now)
         self._now = max(self._now, now)
         match event:
-            case face.AttemptEnded():
+            case interface.AttemptEnded():
                 self._ended(event, now)
-            case face.RequestArrived():
+            case interface.RequestArrived():
                 self._arrived(event, now)
-            case face.TimerDue():
+            case interface.TimerDue():
                 self._due(event.token, now)
-            case face.ListUpdate():
+            case interface.ListUpdate():
                 self._listed(event, now)
-            case face.ClientDisconnected():
+            case interface.ClientDisconnected():
                 self._left(event.request)
-            case face.Detached():
+            case interface.Detached():
                 self._detached.add(event.server)
                 if (server := self._servers.get(event.server)) is not None:
                     self._set_eligible(server, False)
-            case face.Attached():
+            case interface.Attached():
                 self._attached(event, now)
-            case face.ResponseStarted():
+            case interface.ResponseStarted():
                 self._answer_started(event, now)
-            case face.BodyEnded():
+            case interface.BodyEnded():
                 self._body_ended(event, now)
-            case face.LearnedState():
+            case interface.LearnedState():
                 self._heritage.take(event, self._room)
                 self._draw_anew(self._heritage.give)
-            case face.BodyDiscarded():
+            case interface.BodyDiscarded():
                 if (request := self._requests.get(event.request)) is not None:
                     request.spent = True
         self._pump(now)
         return self._actions
 
-    def _listed(self, event: face.ListUpdate, now: float) -> None:
+    def _listed(self, event: interface.ListUpdate, now: float) -> None:
         if event.kind is ListKind.FAILED:
             if not self._asking.failures:
-                self._actions.append(face.Log("server list out of reach; keeping the last one"))
-            self._actions.append(face.SetTimer(now + self._asking.again(event.since_contact_ms), "list"))
+                self._actions.append(interface.Log("server list out of reach; keeping the last one"))
+            self._actions.append(interface.SetTimer(now + self._asking.again(event.since_contact_ms), "list"))
             return
         if self._asking.failures and event.kind is not ListKind.SAVED:
             self._asking.failures = 0
-            self._actions.append(face.Log("server list is back"))
+            self._actions.append(interface.Log("server list is back"))
         if event.kind is not ListKind.CHANGES:
             named = {m.server for m in event.members}
             for known in [s for n, s in self._servers.items() if s.listed_ready and n not in named]:
@@ -133,7 +133,7 @@
             if member.up_since_ms > server.member.up_since_ms:
                 server.reset_evidence(now)  # the same name, a new process
             server.member, server.size = member, size
-            server.listed_ready = member.readiness is face.Readiness.READY
+            server.listed_ready = member.readiness is interface.Readiness.READY
             self._set_eligible(server, server.listed_ready and member.server not in self._detached)
             self._slow_start.started(member.up_since_ms)
         for name, server in list(self._leaving.items()):
@@ -144,7 +144,7 @@
         self._choose()
         self._median_at = -math.inf
 
-    def _attached(self, event: face.Attached, now: float) -> None:
+    def _attached(self, event: interface.Attached, now: float) -> None:
         """Take a server back as one that has just started: until the list tells, nobody knows better."""
         server = self._servers.get(event.server)
         was_out = event.server in self._detached
@@ -157,7 +157,7 @@
             self._set_eligible(server, server.listed_ready)
             self._back.append(server)
 
-    def learned(self, now: float) -> face.LearnedState:
+    def learned(self, now: float) -> interface.LearnedState:
         """What a version that takes over from this one should know."""
         return told(self._room, self._fleet.ready, now)
 
@@ -191,7 +191,7 @@
 
     # ---- a request's path -----------------------------------------------------------------------
 
-    def _arrived(self, event: face.RequestArrived, now: float) -> None:
+    def _arrived(self, event: interface.RequestArrived, now: float) -> None:
         if event.request in self._requests:
             raise ValueError(f"request {event.request} has arrived before")
         if event.class_name not in self._classes:
@@ -217,7 +217,7 @@
         if not request.attempts:
             wait = min(WAIT_SHARE * request.cls.aim_ms, request.useful_until() - now - self._settings.tick_ms)
             if wait > 0:
-                self._actions.append(face.SetTimer(now + wait, f"wait:{request.id}"))
+                self._actions.append(interface.SetTimer(now + wait, f"wait:{request.id}"))
             else:
                 self._give_up(request)
 
@@ -225,7 +225,7 @@
         kind, _, number = token.partition(":")
         request = self._requests.get(int(number or -1))
         if kind == "list":
-            self._actions.append(face.Subscribe())
+            self._actions.append(interface.Subscribe())
         elif request is None or not request.owed:
             return
         elif kind == "copy":
@@ -235,7 +235,7 @@
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
-            self._actions.append(face.Log(f"no room: refusing; {self._room.out} calls out"))
+            self._actions.append(interface.Log(f"no room: refusing; {self._room.out} calls out"))
         self._refusing_until = now + EVIDENCE_DECAY_MS
         self._give_up(request)
 
@@ -279,23 +279,23 @@
         request.attempts.append(attempt)
         if not request.is_coming:  # else its server has nothing to do yet
             self._call_tracker.out(attempt, now)
-        self._actions.append(face.Send(request.id, server.member.server, timeout))
+        self._actions.append(interface.Send(request.id, server.member.server, timeout))
         if self._room.mean and self._settings.may_duplicate and request.may_repeat():
             patience = PATIENCE * self._room.mean * request.cls.aim_ms
-            self._actions.append(face.SetTimer(now + patience, f"copy:{request.id}"))
+            self._actions.append(interface.SetTimer(now + patience, f"copy:{request.id}"))
         return True
 
-    def _made(self, event: face.AttemptEnded | face.ResponseStarted) -> tuple[Request, Attempt]:
+    def _made(self, event: interface.AttemptEnded | interface.ResponseStarted) -> tuple[Request, Attempt]:
         request = self._requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             raise ValueError(f"attempt {event.attempt} of request {event.request} was never made")
         return request, request.attempts[event.attempt]
 
-    def _ended(self, event: face.AttemptEnded, now: float) -> None:
+    def _ended(self, event: interface.AttemptEnded, now: float) -> None:
         request, attempt = self._made(event)
         if not attempt.out:
             return
-        attempt.out, attempt.ran = False, event.outcome not in face.NEVER_RAN
+        attempt.out, attempt.ran = False, event.outcome not in interface.NEVER_RAN
         self._call_tracker.ended(attempt, event.outcome, request.cls, self._median or 1.0, now)
         if event.answered:
             request.owed = False
@@ -304,7 +304,7 @@
             self._give_up(request)
         self._drop_if_over(request)
 
-    def _answer_started(self, event: face.ResponseStarted, now: float) -> None:
+    def _answer_started(self, event: interface.ResponseStarted, now: float) -> None:
         """Its server has done its work, unless the class is a stream; other answers are of no use."""
         request, attempt = self._made(event)
         self._cancel_rest(request, attempt)
@@ -312,7 +312,7 @@
         if not request.cls.streamed:
             self._call_tracker.ended(attempt, Outcome.SERVED, request.cls, self._median or 1.0, now)
 
-    def _body_ended(self, event: face.BodyEnded, now: float) -> None:
+    def _body_ended(self, event: interface.BodyEnded, now: float) -> None:
         """The request is whole: its time runs, and its server has work."""
         request = self._requests.get(event.request)
         if request is None or not request.is_coming:
@@ -323,7 +323,7 @@
                 timeout = request.timeout(now)
                 attempt.ends = now + timeout
                 self._call_tracker.out(attempt, now)
-                self._actions.append(face.SetAttemptTimeout(request.id, i, timeout))
+                self._actions.append(interface.SetAttemptTimeout(request.id, i, timeout))
 
     def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
         """Make a further attempt out of the savings, of which `keep` stay for others."""
@@ -336,13 +336,13 @@
         request.owed = False
         harmless = request.cls.effect is Effect.REPEATABLE or not any(a.ran for a in request.attempts)
         away = min(AWAY_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
-        self._actions.append(face.Refuse(request.id, away) if harmless else face.Fail(request.id))
+        self._actions.append(interface.Refuse(request.id, away) if harmless else interface.Fail(request.id))
         self._drop_if_over(request)
 
     def _cancel_rest(self, request: Request, but: Attempt | None = None) -> None:
         if self._settings.may_cancel and not request.streaming:
             out = (i for i, a in enumerate(request.attempts) if a.out and a is not but)
-            self._actions.extend(face.Cancel(request.id, i) for i in out)
+            self._actions.extend(interface.Cancel(request.id, i) for i in out)
 
     def _left(self, request_id: int) -> None:
         if (request := self._requests.get(request_id)) is not None:
@@ -443,7 +443,7 @@
             some = self._fleet.ready[:WALK]
             if self._counted and self._crowd.tells:
                 said = self._rest.look(some, now < self._refusing_until, self._crowd.least, now)
-                self._actions += [face.Log(said)] if said else []
+                self._actions += [interface.Log(said)] if said else []
             if self._kinds.learn(some, now):
                 self._draw_anew(self._kinds.give)
             known = sorted(s.served / s.busy / s.size for s in some if s.served > 0.5 and s.busy > 0)
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable, Iterator
 from itertools import accumulate
 
-from umberworks import interface as face
+from umberworks import interface
 
 EVIDENCE_DECAY_MS = (
     6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
@@ -34,7 +34,7 @@
 class Server:
     """What is known of one server: its list entry, our calls there and the evidence on its capacity."""
 
-    def __init__(self, member: face.Member, now: float, rank: float, warmth: Warmth) -> None:
+    def __init__(self, member: interface.Member, now: float, rank: float, warmth: Warmth) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
         self.warmth = warmth  # of a server at a moment: the part that it has of its capacity at the least
         self.listed_ready, self.eligible, self.last_served_at = (
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Iterable
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.kinds import pooled
 from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
@@ -24,7 +24,7 @@
 class SlowStart:
     """Warmth by age, and the pace that it allows."""
 
-    def __init__(self, settings: face.Settings, chance: random.Random) -> None:
+    def __init__(self, settings: interface.Settings, chance: random.Random) -> None:
         self._settings, self._chance = settings, chance
         self.until = 0.0  # some listed server may be cold up to then
         self.usual_rate = 0.0  # served calls a millisecond of a warm server
