--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -144,7 +144,7 @@
 ) -> None:
     harness = taught(3_000, 1.0, 10, calls=4_000)
     balancer = harness.balancer
-    balancer._fleet.set_subset_size(3_000, 1.0, harness.now)
+    balancer._fleet.resize_subset(3_000, 1.0, harness.now)
     monkeypatch.setattr(balancer, "_choose", lambda: None)
     looked = Counter[str]()
     monkeypatch.setattr(
@@ -184,7 +184,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.fleet, self.now, self.usual = Fleet(), 0.0, 1.0
-        self.fleet.set_subset_size(4, 1.0, 0.0)
+        self.fleet.resize_subset(4, 1.0, 0.0)
         self.servers: list[Server] = []
         self.chance = random.Random(1)
 
@@ -227,7 +227,7 @@
 
     @rule(count=st.integers(0, 20))
     def keeps(self, count: int) -> None:
-        self.fleet.set_subset_size(count, self.usual, self.now)
+        self.fleet.resize_subset(count, self.usual, self.now)
 
     @rule(factor=st.floats(0.01, 100))
     def usual_changes(self, factor: float) -> None:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -177,17 +177,13 @@
             self._leaving[server.member.server] = server
 
     def _choose(self) -> None:
-        """Keep to as many servers as our calls can tell of, by ranks of our own: more we know by scraps."""
+        """Size the subset by the calls in memory: with fewer calls each, servers can't be estimated."""
         calls = self._fleet.calls(self._now)
-        self._fleet.set_subset_size(
-            max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now
-        )
+        self._fleet.resize_subset(max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now)
         ready = len(self._fleet.ready)
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
         self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * ready
-        self._slow_start.learn(
-            self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now
-        )  # ranks are drawn
+        self._slow_start.learn(self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now)
 
     # ---- a request's path -----------------------------------------------------------------------
 
@@ -241,10 +237,8 @@
 
     def _copy(self, request: Request, now: float) -> None:
         """Send a copy of what is overdue at a server that has served nothing since: it may hang."""
-        silent = request.is_out() and all(
-            a.server.last_served_at <= a.sent for a in request.attempts if a.out
-        )
-        if silent and self._has_room():
+        hangs = request.is_out() and all(a.server.last_served_at <= a.sent for a in request.attempts if a.out)
+        if hangs and self._has_room():
             self._try_again(request, now, RETRY_BURST / 2)
 
     def _pump(self, now: float) -> None:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -183,7 +183,7 @@
         if i < self.subset_size <= len(self.ready):
             self._take(self.ready[self.subset_size - 1], True, usual, now)
 
-    def set_subset_size(self, count: int, usual: float, now: float) -> None:
+    def resize_subset(self, count: int, usual: float, now: float) -> None:
         """Keep to so many."""
         for server in self.ready[self.subset_size : count]:
             self._take(server, True, usual, now)
