--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -49,12 +49,12 @@
         server.recent_aims_ms += aim_ms
         server.recent_calls += 1
         server.block_calls += 1
-        server.block_aims += aim_ms
+        server.block_aims_ms += aim_ms
         span = now - server.block_start
         if server.block_calls < BLOCK_CALLS or span < BLOCK_MS:
             return
-        time, held = server.block_times / server.block_aims, server.block_times / span
-        server.block_calls, server.block_aims, server.block_times, server.block_start = 0, 0.0, 0.0, now
+        time, held = server.block_times / server.block_aims_ms, server.block_times / span
+        server.block_calls, server.block_aims_ms, server.block_times, server.block_start = 0, 0.0, 0.0, now
         usual = server.baseline_time or time
         most = self.most(server)
         if time > LOST * usual:
