--- a/umberworks/crowd.py
+++ b/umberworks/crowd.py
@@ -53,8 +53,8 @@
         span = now - server.block_start
         if server.block_calls < BLOCK_CALLS or span < BLOCK_MS:
             return
-        time, held = server.block_times / server.block_aims_ms, server.block_times / span
-        server.block_calls, server.block_aims_ms, server.block_times, server.block_start = 0, 0.0, 0.0, now
+        time, held = server.block_call_ms / server.block_aims_ms, server.block_call_ms / span
+        server.block_calls, server.block_aims_ms, server.block_call_ms, server.block_start = 0, 0.0, 0.0, now
         usual = server.baseline_time or time
         most = self.most(server)
         if time > LOST * usual:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -63,7 +63,7 @@
         self.concurrency_limit, self.baseline_time = 0.0, 0.0  # see crowd.py; 0: not known
         self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
         self.concurrency_ceiling, self.rests_until = math.inf, 0.0  # see rest.py
-        self.block_calls, self.block_aims_ms, self.block_times, self.block_start = 0, 0.0, 0.0, now
+        self.block_calls, self.block_aims_ms, self.block_call_ms, self.block_start = 0, 0.0, 0.0, now
 
     def catch_up(self, now: float) -> None:
         """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
@@ -80,7 +80,7 @@
             self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * third
             self.recent_aims_ms *= third
             self.recent_calls *= third
-            self.block_times += self.calls_out * gap
+            self.block_call_ms += self.calls_out * gap
             self.updated_at = now
 
     def time(self) -> float:
