--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -172,7 +172,7 @@
     harness = taught(100, 10.0, 12)
     harness.now += 5 * 3_600_000.0
     picked = Counter(a.server for _ in range(200) for a in sent(harness.new_request(READ)[1]))
-    assert len(picked) >= 10 and all(math.isfinite(s.busy) for s in harness.balancer._servers.values())
+    assert len(picked) >= 10 and all(math.isfinite(s.busy_ms) for s in harness.balancer._servers.values())
 
 
 # ---- properties
@@ -249,9 +249,9 @@
             assert server.bucket is not None
             for later in (0.0, 3_000.0, 60_000.0):
                 fade = math.exp(-(self.now + later - server.updated_at) / EVIDENCE_DECAY_MS)
-                busy = server.busy * fade + server.in_flight * EVIDENCE_DECAY_MS * (1 - fade)
+                busy_ms = server.busy_ms * fade + server.in_flight * EVIDENCE_DECAY_MS * (1 - fade)
                 usual = self.usual * server.size
-                capacity = (server.served * fade + 2) / (busy + 2 / usual)
+                capacity = (server.served * fade + 2) / (busy_ms + 2 / usual)
                 top = server.bucket.largest * max(server.bucket.top, self.usual)
                 assert capacity <= top * (1 + 1e-9)
 
@@ -273,7 +273,7 @@
     draws, whole = Draws(), 0.0
     for rate in rates:
         server = Server(Member("s"), 0.0, 0.5, always_warm)
-        server.served, server.busy = 10.0, 10.0 / rate
+        server.served, server.busy_ms = 10.0, 10.0 / rate
         draws.put(server, usual)
         whole += server.capacity(usual, 0.0)
     _, sums = draws.table(usual)
@@ -285,10 +285,10 @@
     at_once, stepwise = Server(Member("s"), 0.0, 0.5, always_warm), Server(Member("s"), 0.0, 0.5, always_warm)
     now = 0.0
     for server in (at_once, stepwise):
-        server.served, server.busy, server.in_flight = 7.0, 90.0, out
+        server.served, server.busy_ms, server.in_flight = 7.0, 90.0, out
     for gap in gaps:
         now += gap
         stepwise.catch_up(now)
     at_once.catch_up(now)
     assert math.isclose(at_once.served, stepwise.served, rel_tol=1e-9)
-    assert math.isclose(at_once.busy, stepwise.busy, rel_tol=1e-6)
+    assert math.isclose(at_once.busy_ms, stepwise.busy_ms, rel_tol=1e-6)
--- a/umberworks/inherit.py
+++ b/umberworks/inherit.py
@@ -26,7 +26,7 @@
                 s.member.server,
                 s.member.up_since_ms,
                 s.served,
-                s.busy,
+                s.busy_ms,
                 s.baseline_time,
                 s.concurrency_limit,
                 s.concurrency_ceiling,
@@ -53,7 +53,7 @@
         known = self._known.pop(server.member.server, None) if self._known else None
         if known is None or known.started_at_ms != server.member.up_since_ms or server.served:
             return
-        server.served, server.busy, server.baseline_time = known.served, known.busy, known.baseline_time
+        server.served, server.busy_ms, server.baseline_time = known.served, known.busy_ms, known.baseline_time
         server.concurrency_limit, server.concurrency_ceiling = (
             known.concurrency_limit,
             known.concurrency_ceiling,
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -279,15 +279,15 @@
     server: str
     started_at_ms: float  # when its process started, so that nothing is believed of another one
     served: float
-    busy: float
+    busy_ms: float
     baseline_time: float
     concurrency_limit: float
     concurrency_ceiling: float
 
     def __post_init__(self) -> None:
-        for field in ("started_at_ms", "served", "busy", "baseline_time", "concurrency_limit"):
+        for field in ("started_at_ms", "served", "busy_ms", "baseline_time", "concurrency_limit"):
             _require(math.isfinite(getattr(self, field)), field, "must be finite")
-        for field in ("served", "busy", "baseline_time", "concurrency_limit"):
+        for field in ("served", "busy_ms", "baseline_time", "concurrency_limit"):
             _require(getattr(self, field) >= 0, field, "must not be negative")
         _require(self.concurrency_ceiling > 0, "concurrency_ceiling", "must be above 0")
 
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -46,8 +46,8 @@
         fade = math.exp(-gap / LONG_MS)
         known: Mapping[str, list[tuple[float, float]]] = defaultdict(list)
         for server in servers:
-            if server.served and server.busy:
-                speed = server.served / server.busy / self.base(server.member)
+            if server.served and server.busy_ms:
+                speed = server.served / server.busy_ms / self.base(server.member)
                 for kind in (server.member.kind, ALL):
                     known[kind].append((speed, server.served))
         for kind in {*known, *self._shown}:
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -440,7 +440,7 @@
                 self._actions += [interface.Log(said)] if said else []
             if self._kinds.learn(some, now):
                 self._draw_anew(self._kinds.give)
-            known = sorted(s.served / s.busy / s.size for s in some if s.served > 0.5 and s.busy > 0)
+            known = sorted(s.served / s.busy_ms / s.size for s in some if s.served > 0.5 and s.busy_ms > 0)
             if known:
                 self._median = known[len(known) // 2]
                 self._fleet.is_usual(self._median)
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -55,7 +55,7 @@
 
     def reset_evidence(self, now: float) -> None:
         """Drop the evidence: the process behind the name is a new one."""
-        self.served, self.busy, self.updated_at = 0.0, 0.0, now
+        self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.cold_window_ends_at, self.may_send_when_cold = now, False  # see slow_start.py
         self.mean_calls_out = float(
             self.calls_out
@@ -73,9 +73,9 @@
             self.served *= fade
             # The time that calls in flight add fades too: one long gap comes to as much as many short ones.
             # It counts as warm time: what a cold server shows tells what it will do once it is warm.
-            self.busy *= fade
+            self.busy_ms *= fade
             if self.in_flight:
-                self.busy += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
+                self.busy_ms += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
             third = fade * fade * fade
             self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * third
             self.recent_aims_ms *= third
@@ -92,14 +92,14 @@
     def capacity(self, usual: float, now: float) -> float:
         """c of the design when it is warm: served calls over our time in flight, leaning on what is usual."""
         self.catch_up(now)
-        return (self.served + PRIOR_CALLS) / (self.busy + PRIOR_CALLS / (usual * self.size))
+        return (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (usual * self.size))
 
     def bound(self, usual: float) -> float:
         """What its capacity can't pass from now on, unless it is what is usual; 0 without evidence."""
         if not self.served:
             return 0.0
-        leaning = (self.served + PRIOR_CALLS) / (self.busy + PRIOR_CALLS / (RISE * usual))
-        return min(leaning, self.served / self.busy) if self.busy > 0 else leaning
+        leaning = (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (RISE * usual))
+        return min(leaning, self.served / self.busy_ms) if self.busy_ms > 0 else leaning
 
 
 class _Bucket:
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -37,8 +37,8 @@
             server.catch_up(now)
             if self.warmth(server, now) >= 1:
                 warm.append(server.served)
-            if server.served and server.busy:
-                known.append((server.served / server.busy / server.size, server.served))
+            if server.served and server.busy_ms:
+                known.append((server.served / server.busy_ms / server.size, server.served))
         if warm:
             self.usual_rate = sum(warm) / len(warm) / EVIDENCE_DECAY_MS
         calls, time = pooled(known)
