--- a/umberworks/rest.py
+++ b/umberworks/rest.py
@@ -116,7 +116,7 @@
 
 def takes_long(server: Server, than: float = SLOW) -> bool:
     """Whether it takes so many times its usual time."""
-    return tells(server) and server.time() >= than * server.baseline_time
+    return tells(server) and server.time_in_service() >= than * server.baseline_time
 
 
 def are_most(servers: list[Server], slow: bool, than: float) -> bool:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -83,7 +83,7 @@
             self.block_call_ms += self.calls_out * gap
             self.updated_at = now
 
-    def time(self) -> float:
+    def time_in_service(self) -> float:
         """How long its calls take now, in aims; 0 where it has served none of late."""
         return (
             self.mean_calls_out * EVIDENCE_DECAY_MS / 3 / self.recent_aims_ms if self.recent_aims_ms else 0.0
