--- a/umberworks/__init__.py
+++ b/umberworks/__init__.py
@@ -1,4 +1,4 @@
-"""umberworks: the decisions of a load balancer for services that call services."""
+"""Decisions of a load balancer for service-to-service calls; no I/O."""
 
 from umberworks.interface import Settings
 from umberworks.rules import Balancer
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -1,15 +1,20 @@
-"""What a balancer is told and what it may do: settings, members, events and actions.
-
-The contract. The caller owns the clock: all times and spans are milliseconds on one clock that may stand
-still but never goes backwards. It calls `Balancer.handle` with one event at a time, in the order in which
-they happened, carries out the returned actions in order, and delivers in turn: for each `Send` exactly one
-`AttemptEnded`, for each `SetTimer` one `TimerDue` at or after its moment, for each `Subscribe` the list and
-then its changes. A served attempt ends its request; every other request ends with the one `Refuse` or
-`Fail` that the balancer returns. A balancer is single-threaded and shares nothing; its only chance comes
-from its seed. Settings out of range and impossible events (an unknown class, a request seen twice, an
-attempt never made) raise `ValueError`.
-
-Every type is a frozen value; the decisions are in `umberworks.rules`.
+"""The interface of a balancer: its settings, the members of the server list, events and actions.
+
+The code that drives a balancer owns the clock. All times and durations are milliseconds on one clock, which
+may stand still but never goes backwards. That code calls `Balancer.handle` with one event at a time, in the
+order in which the events happened, carries out the returned actions in order, and delivers further events in
+return:
+
+- exactly one `AttemptEnded` for each `Send`,
+- one `TimerDue` for each `SetTimer`, at or after the time that was set,
+- the server list, and then its changes, for each `Subscribe`.
+
+A served attempt ends its request; every other request ends with the single `Refuse` or `Fail` that the
+balancer returns. A balancer is single-threaded, shares no state, and draws all of its random numbers from its
+seed. Settings out of range and impossible events (an unknown class, a request that arrives twice, an attempt
+that was never made) raise `ValueError`.
+
+All types are frozen dataclasses or enums; the decisions are made in `umberworks.rules`.
 """
 
 from __future__ import annotations
@@ -20,7 +25,11 @@
 
 
 class Effect(enum.Enum):
-    """Whether a request of a class may run more than once."""
+    """Whether a request of a class may run more than once.
+
+    REPEATABLE: any number of times. KEYED: its servers drop duplicates by an idempotency key. ONCE: it must
+    not.
+    """
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -28,7 +37,7 @@
 
 
 class DedupScope(enum.Enum):
-    """Which servers drop repeats of a keyed request."""
+    """Which servers drop duplicates of a keyed request: all, or those in the zone or cell of the first one."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,7 +45,7 @@
 
 
 class Readiness(enum.Enum):
-    """What the list says of a server's process."""
+    """The state of a server process according to the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -44,7 +53,11 @@
 
 
 class ListKind(enum.Enum):
-    """What a list event carries."""
+    """What a list event carries.
+
+    CHANGES: the entries that changed. WHOLE: the complete list. SAVED: a complete list from an earlier time,
+    which does not show that discovery can be reached. FAILED: no members, as the call to discovery failed.
+    """
 
     CHANGES = "changes"
     WHOLE = "whole"
@@ -53,7 +66,7 @@
 
 
 class Outcome(enum.Enum):
-    """How an attempt ended."""
+    """How an attempt ended; UNKNOWN is an outcome that the code driving the balancer could not interpret."""
 
     SERVED = "served"
     ERROR = "error"
@@ -70,14 +83,21 @@
 """The outcomes that prove that the attempt had no effect."""
 
 
-def _require(condition: bool, name: str, wanted: str) -> None:
+def _require(condition: bool, field_name: str, requirement: str) -> None:
     if not condition:
-        raise ValueError(f"{name}: {wanted}")
+        raise ValueError(f"{field_name}: {requirement}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests and what its callers want."""
+    """A class of requests: its target time and deadline, whether it may be repeated, and its worth.
+
+    `aim_ms` is the target time for the answer, from the arrival of the request. `dedup_window_ms` is how long
+    servers recognize duplicates of a keyed request, and `dedup_scope` which servers do. `worth` is the value
+    of an answer in time; `late_share` is the part of it, 0 to 1, that an answer between the target and the
+    deadline still has. `streamed`: responses are streams, whose server still works while the response is on
+    its way.
+    """
 
     name: str
     aim_ms: float
@@ -88,8 +108,8 @@
     worth: float = 1.0
     late_share: float = 0.0
     streamed: bool = False
-    attempts: int = 0  # at most so many for one request; 0: as many as the settings allow
-    attempt_ms: float = 0.0  # the time that one attempt may take; 0: all that is left
+    attempts: int = 0  # the most attempts for one request; 0: as many as `Settings.max_attempts`
+    attempt_ms: float = 0.0  # the timeout of one attempt; 0: all the time that the request has left
 
     def __post_init__(self) -> None:
         _require(bool(self.name), "name", "must not be empty")
@@ -105,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer and the requests a second it may expect, over all balancers."""
+    """A tenant and its quota in requests per second, over all balancers."""
 
     name: str
     quota_per_s: float
@@ -117,7 +137,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one balancer instance is told when it starts."""
+    """The settings of one balancer instance.
+
+    `balancers` is how many balancers share the servers. `calling_tier` is 0 where clients call, and above 0
+    where the servers of another tier do. With `pulls_list` the balancer itself subscribes to the server list;
+    otherwise the list is pushed to it. `ask_within_ms`: changes of the list count as told once a balancer has
+    not called discovery for this long. `tick_ms` is the resolution of the clock and of timers.
+
+    A server is cold for `cold_ms` after its start: its capacity rises linearly from `cold_from` of the full
+    one. It is overloaded by more than `cold_overload_factor` times the calls that it can serve in a window of
+    `cold_window_ms`, counted over all balancers.
+    """
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
@@ -128,8 +158,10 @@
     max_attempts: int = 3
     may_cancel: bool = False
     may_duplicate: bool = False
-    max_retry_after_ms: float = 0.0  # the longest that clients stay away when told to; 0: they are not told
-    sizes_exact: bool = False  # a member's size is the one it was registered with, neither rough nor made up
+    max_retry_after_ms: float = 0.0  # the longest Retry-After that clients honour; 0: refusals carry none
+    sizes_exact: bool = (
+        False  # `Member.size` is the size that the server registered with, not an estimate or default
+    )
     cold_ms: float = 0.0
     cold_from: float = 1.0
     cold_overload_factor: float = 1.0
@@ -154,9 +186,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One server as the list shows it; `up_since_ms` is 0 when it started long ago.
+    """An entry of the server list; `up_since_ms`, the start of the process, is 0 if that was long ago.
 
-    `kind`: the sort of machine, where the list tells it; those of a kind are taken to be about as fast.
+    `size` is the server's capacity relative to others. `kind` is the machine type, where the list has one:
+    servers of the same type are taken to be about equally fast.
     """
 
     server: str
@@ -176,11 +209,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListUpdate:
-    """News of the server list; FAILED carries no members and leaves the old list standing.
+    """A server list or its changes; FAILED carries no members, and the last list stays in use.
 
-    `since_contact_ms`, with FAILED: how long ago this balancer last watched or asked in a way that surely counts, 0
-    where the call that failed was turned away or cut off. What has changed since counts as told once that is
-    `ask_within_ms` ago, whether or not it was heard (PROTOCOL, the rules on sockets).
+    `since_contact_ms`, with FAILED: the time since this balancer's last call to discovery that surely
+    counted, 0 if the failed call itself was turned away or cut off. Once that call is `ask_within_ms` ago,
+    changes count as told to this balancer, whether or not it received them (PROTOCOL, the rules on sockets).
     """
 
     kind: ListKind
@@ -190,15 +223,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryMoved:
-    """The list is to be asked for elsewhere from now on; whatever was asked before is of no more use."""
+    """The discovery service has moved: calls to the old address are void, and the list is asked for anew."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; exactly one final answer is owed within `remaining_ms`.
+    """A client's request; it must get exactly one final answer within `remaining_ms`.
 
-    `free_connections`: those left to the callers while they can open no more, as in a drain. `body_open`: its
-    body is still coming, and the time runs from `BodyEnded` only.
+    `free_connections`: how many connections of the callers carry no request, at a time when callers can open
+    no new ones, as in a drain. `body_open`: the body is still being received, and the time counts from
+    `BodyEnded`.
     """
 
     request: int
@@ -211,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyEnded:
-    """The last byte of a request has come whose body was open; so much time is left from now on."""
+    """The last byte of a body that was open has been received; `remaining_ms` counts from now."""
 
     request: int
     remaining_ms: float
@@ -219,14 +253,14 @@
 
 @dataclass(frozen=True, slots=True)
 class BodyDiscarded:
-    """Part of a body has gone out and is kept nowhere: the request can't be sent again."""
+    """Part of a body was sent to a server and not kept in memory: the request can't be sent again."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """An attempt's answer is on its way to the client: nothing else can be it, and the deadline no longer runs."""
+    """This attempt's response is being sent to the client: no other can be, and the deadline is void."""
 
     request: int
     attempt: int
@@ -234,7 +268,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; `answered` says that the request has its final answer."""
+    """An attempt is over; `answered`: the request has its final answer."""
 
     request: int
     attempt: int
@@ -245,28 +279,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed for the request."""
+    """The client has disconnected; the request needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """A timer set by `SetTimer` has come due."""
+    """A timer that `SetTimer` set has expired."""
 
     token: str
 
 
 @dataclass(frozen=True, slots=True)
 class Detached:
-    """An operator takes a server out: nothing new goes to it, whatever the list says, until it is attached."""
+    """An operator detached a server: until it is attached it gets no new calls, whatever the list says."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Attached:
-    """An operator puts a server back that was detached; it may have started anew until `at_ms` of the clock."""
+    """An operator attached a detached server again; its process may have restarted up to time `at_ms`."""
 
     server: str
     at_ms: float
@@ -274,15 +308,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEstimate:
-    """What a balancer has learned of one server: evidence on its capacity, its usual time, what it may hold."""
+    """What a balancer has measured of one server process: capacity, baseline time and concurrency limit."""
 
     server: str
-    started_at_ms: float  # when its process started, so that nothing is believed of another one
-    served: float
-    busy_ms: float
-    baseline_time: float
-    concurrency_limit: float
-    concurrency_ceiling: float
+    started_at_ms: float  # start of the process; the estimate is ignored if another process has that name now
+    served: float  # served calls, decayed
+    busy_ms: float  # time that calls were in flight, decayed the same way
+    baseline_time: float  # usual time in service as a multiple of the calls' target times; 0 if unknown
+    concurrency_limit: float  # concurrent calls that it serves at full speed; 0 if unknown
+    concurrency_ceiling: float  # upper bound on that limit; infinite if there is none
 
     def __post_init__(self) -> None:
         for field in ("started_at_ms", "served", "busy_ms", "baseline_time", "concurrency_limit"):
@@ -294,8 +328,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LearnedState:
-    """What the version that runs has learned, for the one that takes over from it: a first measure under a crowd
-    would be taken for the usual. `base` is the lowest mean time in service, in aims; 0 where it is not known."""
+    """What the running version has learned, for the version that takes over from it.
+
+    Without it, a first measurement under overload would be taken for the usual load. `base` is the lowest
+    mean time in service, as a multiple of the calls' target times; 0 if unknown.
+    """
 
     base: float
     servers: tuple[ServerEstimate, ...]
@@ -325,7 +362,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Make the next attempt of a request; attempts count from 0."""
+    """Send the next attempt of a request; attempts count from 0. An open body means no timeout."""
 
     request: int
     server: str
@@ -334,7 +371,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetAttemptTimeout:
-    """An attempt that had no time-out, as its request's body was open, ends after so long from now on."""
+    """Set a timeout, from now on, for an attempt that was sent without one because the body was open."""
 
     request: int
     attempt: int
@@ -343,7 +380,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Call off an attempt that is still out."""
+    """Cancel an attempt that has not ended yet."""
 
     request: int
     attempt: int
@@ -351,7 +388,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless, best after `retry_after_ms` (0: no advice)."""
+    """Final answer: not served, and safe to repeat, best after `retry_after_ms` (0: no advice)."""
 
     request: int
     retry_after_ms: float = 0.0
@@ -359,14 +396,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed; promises nothing of what happened."""
+    """Final answer: the request failed, and it may or may not have taken effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerDue` at a moment of the clock; tokens hold no spaces."""
+    """Request a `TimerDue` at time `at_ms`; tokens contain no spaces."""
 
     at_ms: float
     token: str
@@ -374,12 +411,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open the standing subscription to the server list."""
+    """Subscribe to the server list and its changes."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Write a line to the operators' log."""
 
     text: str
 
