--- a/umberworks/call_tracker.py
+++ b/umberworks/call_tracker.py
@@ -1,4 +1,4 @@
-"""Calls out and what their ends tell of their servers (the contract: umberworks/interface.py)."""
+"""Counts the calls in flight and records their outcomes (interface: umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -13,15 +13,19 @@
 
 
 class CallTracker:
-    """Counts a call from when its server has it until it ends; a failure's slot stays to its time-out."""
+    """Counts a call as in flight from when its server has received it until it ends.
+
+    A failed call keeps its slot until its full timeout: a server that fails fast must not look idle.
+    """
 
     def __init__(self, room: Room, fleet: Fleet, crowd: Crowd) -> None:
         self._room, self._fleet, self._crowd = room, fleet, crowd
+        # Heap of failed calls' slots: release time, number (servers can't be compared), server.
         self._held: list[tuple[float, int, Server]] = []
         self._held_count = 0
 
     def out(self, attempt: Attempt, now: float) -> None:
-        """A server has the whole of a call."""
+        """Count an attempt as in flight: its server has received the whole request."""
         server, attempt.counted = attempt.server, True
         server.catch_up(now)
         server.in_flight += 1
@@ -29,9 +33,9 @@
         self._room.out += 1
 
     def ended(
-        self, attempt: Attempt, outcome: Outcome, cls: interface.RequestClass, usual: float, now: float
+        self, attempt: Attempt, outcome: Outcome, cls: interface.RequestClass, median: float, now: float
     ) -> None:
-        """Count a served call; hold a failure's slot to its full time-out: it must not look idle."""
+        """Record the end of an attempt; `median` is the median capacity of the servers, in calls per ms in flight."""
         if not attempt.counted:
             return
         server, attempt.counted = attempt.server, False
@@ -41,17 +45,17 @@
         if outcome is Outcome.SERVED:
             server.served += 1
             server.last_served_at = now
-            self._fleet.served(server, usual, now)
+            self._fleet.served(server, median, now)
             self._room.served(cls.aim_ms, now)
             self._crowd.served(server, cls.aim_ms, now)
-        elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.ends > now:
+        elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.times_out_at > now:
             self._held_count += 1
-            heappush(self._held, (attempt.ends, self._held_count, server))
+            heappush(self._held, (attempt.times_out_at, self._held_count, server))
             return
         server.in_flight -= 1
 
     def release(self, now: float) -> None:
-        """Free the slots whose time is up."""
+        """Free the slots of failed calls whose timeout has passed."""
         while self._held and self._held[0][0] <= now:
             server = heappop(self._held)[2]
             server.catch_up(now)
--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -37,7 +37,7 @@
 
 
 class DedupScope(enum.Enum):
-    """Which servers drop duplicates of a keyed request: all, or those in the zone or cell of the first one."""
+    """Which servers drop duplicates of a keyed request: all, or those in the zone or cell of the first."""
 
     ALL = "all"
     ZONE = "zone"
--- a/umberworks/requests.py
+++ b/umberworks/requests.py
@@ -1,4 +1,4 @@
-"""A request that the module has taken, its attempts and tries (the contract: umberworks/interface.py)."""
+"""Requests, their attempts, and detection of client retries (interface: umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -9,64 +9,68 @@
 from umberworks.interface import Effect
 from umberworks.servers import Server
 
-TRY_STEP_MS = 50.0  # tries that give this much the same time are alike; the commonest are first tries
+REMAINING_STEP_MS = 50.0  # remaining times are compared in steps of this size
 
 
 class Attempt:
-    """One attempt, as far as its outcome is known."""
+    """One attempt; `out` until it has ended, and `ran` until its outcome proves that it had no effect."""
 
     def __init__(self, server: Server, now: float, timeout: float) -> None:
-        self.server, self.sent, self.ends = server, now, now + timeout
-        self.out, self.ran = True, True  # it may have run until its outcome proves otherwise
-        self.counted = False  # its server has it whole: it counts as in flight
+        self.server, self.sent, self.times_out_at = server, now, now + timeout
+        self.out, self.ran = True, True
+        self.counted = False  # it counts as in flight, as its server has received the whole request
 
 
-class Tries:
-    """Tells clients' later tries of a class from first ones by the time that they are given."""
+class RetryDetector:
+    """Detects the clients' retries within a class by their remaining time: most requests are first tries."""
 
     def __init__(self) -> None:
-        self._counts: Counter[int] = Counter()
+        self._counts: Counter[int] = Counter()  # requests by remaining time, in steps
 
-    def note(self, request: Request, remaining: float) -> None:
-        """Move up the aim of a later try: past the first aim it is worth little."""
-        counts, step = self._counts, round(remaining / TRY_STEP_MS)
+    def observe(self, request: Request, remaining: float) -> None:
+        """Count a request; if it is a retry, its target time counts from the first try.
+
+        It is a retry if its remaining time is more than one step from the most frequent one. An answer after
+        the first try's target time is worth little.
+        """
+        counts, step = self._counts, round(remaining / REMAINING_STEP_MS)
         counts[step] += 1
         if abs(step - max(counts, key=counts.__getitem__)) > 1:
-            request.late_by = max(request.cls.deadline_ms - remaining, 0.0)
-            request.aim_at -= request.late_by
+            request.since_first_try_ms = max(request.cls.deadline_ms - remaining, 0.0)
+            request.aim_at -= request.since_first_try_ms
 
 
 class Request:
-    """One request, from its arrival until it is answered and no attempt is out."""
+    """One request, from its arrival until it is answered and all of its attempts have ended."""
 
     def __init__(self, event: interface.RequestArrived, cls: interface.RequestClass, now: float) -> None:
         self.id, self.cls = event.request, cls
         self.deadline, self.aim_at = now + event.remaining_ms, now + cls.aim_ms
-        self.late_by = 0.0  # how long before it the first try came
+        self.since_first_try_ms = 0.0  # time from the client's first try to the arrival of this one
         self.attempts: list[Attempt] = []
-        self.owed, self.over_share, self.streaming = True, False, False
-        self.spent = False  # part of its body is gone: it can't be sent again
-        self.is_coming = event.body_open
-        if self.is_coming:
+        self.unanswered, self.over_share, self.streaming = True, False, False
+        self.body_discarded = False  # part of the body was sent and not kept: it can't be sent again
+        self.body_incomplete = event.body_open  # no deadline and no target time until it is complete
+        if self.body_incomplete:
             self.deadline = self.aim_at = math.inf
 
-    def whole(self, now: float, remaining: float) -> None:
-        """Its last byte has come."""
-        self.is_coming = False
-        self.deadline, self.aim_at = now + remaining, now + self.cls.aim_ms - self.late_by
+    def complete_body(self, now: float, remaining: float) -> None:
+        """The last byte of the body was received: the deadline and the target time count from now."""
+        self.body_incomplete = False
+        self.deadline, self.aim_at = now + remaining, now + self.cls.aim_ms - self.since_first_try_ms
 
-    def may_repeat(self) -> bool:
-        """Whether a copy can be sent beside an attempt that is out."""
-        return self.cls.effect is not Effect.ONCE and not (self.is_coming or self.spent)
+    def can_be_duplicated(self) -> bool:
+        """Whether a second attempt can be sent while the first one is in flight."""
+        return self.cls.effect is not Effect.ONCE and not (self.body_incomplete or self.body_discarded)
 
     def timeout(self, now: float) -> float:
-        """How long an attempt may take from now on, in milliseconds."""
+        """The timeout of an attempt that is sent now, in milliseconds."""
         return min(self.useful_until() - now, self.cls.attempt_ms or math.inf)
 
     def is_out(self) -> bool:
-        """Whether an attempt is out."""
+        """Whether an attempt is in flight."""
         return any(a.out for a in self.attempts)
 
     def useful_until(self) -> float:
-        """When an answer stops being worth anything."""
+        """The time from which an answer has no value."""
         return self.deadline if self.cls.late_share > 0 else min(self.deadline, self.aim_at)
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -18,7 +18,7 @@
 from umberworks.inherit import Heritage, told
 from umberworks.interface import DedupScope, Effect, ListKind, Outcome
 from umberworks.kinds import Kinds
-from umberworks.requests import Attempt, Request, Tries
+from umberworks.requests import Attempt, Request, RetryDetector
 from umberworks.rest import Rest
 from umberworks.room import RATE_MEMORY_MS, Room
 from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Pick, Server
@@ -59,7 +59,7 @@
         self._crowd = Crowd(settings.balancers, settings.calling_tier)
         self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
         self._call_tracker = CallTracker(self._room, self._fleet, self._crowd)
-        self._tries = {c.name: Tries() for c in settings.classes}
+        self._retry_detectors = {c.name: RetryDetector() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
         self._shares = Shares(settings.tenants, settings.balancers)
         self._asking = Asking(settings, self._random)
@@ -103,7 +103,7 @@
                 self._draw_anew(self._heritage.give)
             case interface.BodyDiscarded():
                 if (request := self._requests.get(event.request)) is not None:
-                    request.spent = True
+                    request.body_discarded = True
         self._pump(now)
         return self._actions
 
@@ -195,7 +195,7 @@
         request = Request(event, self._classes[event.class_name], now)
         request.over_share = self._shares.is_over(event.tenant, now)
         if self._settings.calling_tier == 0:
-            self._tries[request.cls.name].note(request, event.remaining_ms)
+            self._retry_detectors[request.cls.name].observe(request, event.remaining_ms)
         self._requests[request.id] = request
         self._retries = min(RETRY_BURST, self._retries + RETRY_SHARE)
         if event.free_connections < min(KEPT_FREE, len(self._requests) // KEPT_FOR):
@@ -222,7 +222,7 @@
         request = self._requests.get(int(number or -1))
         if kind == "list":
             self._actions.append(interface.Subscribe())
-        elif request is None or not request.owed:
+        elif request is None or not request.unanswered:
             return
         elif kind == "copy":
             self._copy(request, now)
@@ -245,7 +245,7 @@
         """Let waiting requests out while there is room: within their share first, the newest first."""
         while self._waiting and self._has_room():
             request = self._requests.get(self._waiting[0][2])
-            if request is not None and request.owed and not self._try_send(request, now):
+            if request is not None and request.unanswered and not self._try_send(request, now):
                 return
             heappop(self._waiting)
 
@@ -271,10 +271,10 @@
         server.last_sent = now
         attempt = Attempt(server, now, timeout)
         request.attempts.append(attempt)
-        if not request.is_coming:  # else its server has nothing to do yet
+        if not request.body_incomplete:  # else its server has nothing to do yet
             self._call_tracker.out(attempt, now)
         self._actions.append(interface.Send(request.id, server.member.server, timeout))
-        if self._room.mean and self._settings.may_duplicate and request.may_repeat():
+        if self._room.mean and self._settings.may_duplicate and request.can_be_duplicated():
             patience = PATIENCE * self._room.mean * request.cls.aim_ms
             self._actions.append(interface.SetTimer(now + patience, f"copy:{request.id}"))
         return True
@@ -292,9 +292,9 @@
         attempt.out, attempt.ran = False, event.outcome not in interface.NEVER_RAN
         self._call_tracker.ended(attempt, event.outcome, request.cls, self._median or 1.0, now)
         if event.answered:
-            request.owed = False
+            request.unanswered = False
             self._cancel_rest(request)
-        elif request.owed and not request.is_out() and not self._try_again(request, now):
+        elif request.unanswered and not request.is_out() and not self._try_again(request, now):
             self._give_up(request)
         self._drop_if_over(request)
 
@@ -302,32 +302,37 @@
         """Its server has done its work, unless the class is a stream; other answers are of no use."""
         request, attempt = self._made(event)
         self._cancel_rest(request, attempt)
-        request.streaming, request.owed = True, False
+        request.streaming, request.unanswered = True, False
         if not request.cls.streamed:
             self._call_tracker.ended(attempt, Outcome.SERVED, request.cls, self._median or 1.0, now)
 
     def _body_ended(self, event: interface.BodyEnded, now: float) -> None:
         """The request is whole: its time runs, and its server has work."""
         request = self._requests.get(event.request)
-        if request is None or not request.is_coming:
+        if request is None or not request.body_incomplete:
             return
-        request.whole(now, event.remaining_ms)
+        request.complete_body(now, event.remaining_ms)
         for i, attempt in enumerate(request.attempts):
             if attempt.out:
                 timeout = request.timeout(now)
-                attempt.ends = now + timeout
+                attempt.times_out_at = now + timeout
                 self._call_tracker.out(attempt, now)
                 self._actions.append(interface.SetAttemptTimeout(request.id, i, timeout))
 
     def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
         """Make a further attempt out of the savings, of which `keep` stay for others."""
-        if self._retries < keep + 1 or request.streaming or request.spent or not self._try_send(request, now):
+        if (
+            self._retries < keep + 1
+            or request.streaming
+            or request.body_discarded
+            or not self._try_send(request, now)
+        ):
             return False
         self._retries -= 1
         return True
 
     def _give_up(self, request: Request) -> None:
-        request.owed = False
+        request.unanswered = False
         harmless = request.cls.effect is Effect.REPEATABLE or not any(a.ran for a in request.attempts)
         away = min(AWAY_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
         self._actions.append(interface.Refuse(request.id, away) if harmless else interface.Fail(request.id))
@@ -340,12 +345,12 @@
 
     def _left(self, request_id: int) -> None:
         if (request := self._requests.get(request_id)) is not None:
-            request.owed = False
+            request.unanswered = False
             self._cancel_rest(request)
             self._drop_if_over(request)
 
     def _drop_if_over(self, request: Request) -> None:
-        if not request.owed and not request.is_out():
+        if not request.unanswered and not request.is_out():
             self._requests.pop(request.id, None)
 
     def _able(self, request: Request, now: float) -> tuple[int, Callable[[Server], bool] | None]:
