--- a/tests/plain.py
+++ b/tests/reference_pick.py
@@ -9,7 +9,7 @@
 
 from umberworks.interface import DedupScope, Effect
 from umberworks.rules import Balancer
-from umberworks.servers import DRAWS, GOOD, Server
+from umberworks.servers import CHOICES, GOOD_SHARE, Server
 
 
 def able(balancer: Balancer, request: Any, now: float) -> list[Server]:
@@ -36,7 +36,7 @@
 
 
 def pick(balancer: Balancer, request: Any, now: float) -> Server | None:
-    """A walk, the sums, and the draws."""
+    """A walk, the sums, and the sampler."""
     median = balancer._known_median(now)
     found = able(balancer, request, now)
     if not found:
@@ -47,11 +47,11 @@
         capacity.append(server.capacity(median, now) * warmth)
     sums = list(accumulate(capacity))
     best, chosen = (math.inf, 0.0, 0.0), found[-1]
-    for _ in range(DRAWS):
+    for _ in range(CHOICES):
         i = min(bisect(sums, balancer._random.random() * sums[-1]), len(found) - 1)
         load = ((found[i].in_flight + 1) / capacity[i], -capacity[i], balancer._random.random())
         if load < best:
             best, chosen = load, found[i]
-        if balancer._sliver and not found[i].in_flight and capacity[i] >= GOOD * median * found[i].size:
+        if balancer._sparse and not found[i].in_flight and capacity[i] >= GOOD_SHARE * median * found[i].size:
             break
     return chosen
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests import plain
+from tests import reference_pick
 from tests.helpers import ANYWHERE, PAY, READ, BalancerHarness, always_warm, sent
 from umberworks.interface import ListKind, Member, Outcome, Readiness, RequestArrived
 from umberworks.requests import Attempt, Request
 from umberworks.rules import FEW, WALK, Balancer
-from umberworks.servers import EVIDENCE_DECAY_MS, RISE, TRIALS, Draws, Fleet, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, MAX_MEDIAN_RISE, MAX_TRIALS, Fleet, Server, ServerSampler
 
 PICKS = 30_000
 
@@ -69,7 +69,10 @@
     """Picks of the module and of the plain walk, at one moment, come from one distribution (p > 0.0005)."""
     ours, walk = Counter[str](), Counter[str]()
     for _ in range(picks):
-        for found, into in ((balancer._pick(asked, now), ours), (plain.pick(balancer, asked, now), walk)):
+        for found, into in (
+            (balancer._pick(asked, now), ours),
+            (reference_pick.pick(balancer, asked, now), walk),
+        ):
             into[found.member.server if found is not None else ""] += 1
     value, free = chi_square(ours, walk)
     if free:
@@ -94,7 +97,7 @@
     harness = taught(60, 5.0, 5, sizes_exact=True)
     chance = random.Random(1)
     harness.update_list(*(Member(f"s{i}", size=chance.choice([0.3, 1.0, 4.0, 5.5])) for i in range(60)))
-    assert not harness.balancer._sliver
+    assert not harness.balancer._sparse
     same(harness.balancer, request(), harness.now)
 
 
@@ -132,7 +135,7 @@
 def test_the_few_that_are_able_are_found_among_many(able: int) -> None:
     harness = taught(400, 2.0, 9, calls=2_500)
     in_subset = harness.balancer._fleet.ready[: harness.balancer._fleet.subset_size]
-    assert len(in_subset) > TRIALS
+    assert len(in_subset) > MAX_TRIALS
     asked = request(READ, *((s, True) for s in in_subset[able:]), now=harness.now)
     found = {harness.balancer._pick(asked, harness.now) for _ in range(300)}
     # where all were tried, any may be again
@@ -152,7 +155,7 @@
     )
     balancer._slow_start.until = math.inf
     assert balancer._pick(request(), harness.now) is None
-    assert looked.total() <= TRIALS + WALK
+    assert looked.total() <= MAX_TRIALS + WALK
 
 
 def test_a_list_of_ten_thousand_that_flaps_keeps_the_fleet_whole() -> None:
@@ -183,7 +186,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fleet, self.now, self.usual = Fleet(), 0.0, 1.0
+        self.fleet, self.now, self.median = Fleet(), 0.0, 1.0
         self.fleet.resize_subset(4, 1.0, 0.0)
         self.servers: list[Server] = []
         self.chance = random.Random(1)
@@ -196,12 +199,12 @@
     def enters(self, rank: float, size: float) -> None:
         server = Server(Member("s", readiness=Readiness.READY), self.now, rank, always_warm)
         server.size = size
-        self.fleet.enter(server, self.usual, self.now)
+        self.fleet.add(server, self.median, self.now)
 
     @rule(which=st.integers(0, 99))
     def leaves(self, which: int) -> None:
         if (server := self._any(which)) is not None:
-            self.fleet.leave(server, self.usual, self.now)
+            self.fleet.remove(server, self.median, self.now)
             assert server.bucket is None
 
     @rule(which=st.integers(0, 99), took=st.floats(0.001, 5_000), calls=st.integers(1, 30))
@@ -213,7 +216,7 @@
             server.in_flight -= 1
             for _ in range(calls):
                 server.served += 1
-                self.fleet.served(server, self.usual, self.now)
+                self.fleet.served(server, self.median, self.now)
 
     @rule(which=st.integers(0, 99), by=st.sampled_from([-1, 1]))
     def is_sent(self, which: int, by: int) -> None:
@@ -227,12 +230,12 @@
 
     @rule(count=st.integers(0, 20))
     def keeps(self, count: int) -> None:
-        self.fleet.resize_subset(count, self.usual, self.now)
+        self.fleet.resize_subset(count, self.median, self.now)
 
     @rule(factor=st.floats(0.01, 100))
-    def usual_changes(self, factor: float) -> None:
-        self.usual = min(max(self.usual * factor, 1e-6), 1e6)
-        self.fleet.is_usual(self.usual)
+    def median_changes(self, factor: float) -> None:
+        self.median = min(max(self.median * factor, 1e-6), 1e6)
+        self.fleet.median_changed(self.median)
 
     @invariant()
     def sets_are_whole(self) -> None:
@@ -250,9 +253,9 @@
             for later in (0.0, 3_000.0, 60_000.0):
                 fade = math.exp(-(self.now + later - server.updated_at) / EVIDENCE_DECAY_MS)
                 busy_ms = server.busy_ms * fade + server.in_flight * EVIDENCE_DECAY_MS * (1 - fade)
-                usual = self.usual * server.size
-                capacity = (server.served * fade + 2) / (busy_ms + 2 / usual)
-                top = server.bucket.largest * max(server.bucket.top, self.usual)
+                median = self.median * server.size
+                capacity = (server.served * fade + 2) / (busy_ms + 2 / median)
+                top = server.bucket.largest_size * max(server.bucket.top_capacity, self.median)
                 assert capacity <= top * (1 + 1e-9)
 
     @invariant()
@@ -260,8 +263,10 @@
         in_subset = sum(
             s.served * math.exp((s.updated_at - self.now) / EVIDENCE_DECAY_MS) for s in self.fleet.in_subset
         )
-        others = sum(s.counted for s in self.fleet.ready[self.fleet.subset_size :])
-        assert math.isclose(self.fleet.calls(self.now), in_subset + others, rel_tol=1e-6, abs_tol=1e-6)
+        others = sum(s.calls_outside_subset for s in self.fleet.ready[self.fleet.subset_size :])
+        assert math.isclose(
+            self.fleet.decayed_calls(self.now), in_subset + others, rel_tol=1e-6, abs_tol=1e-6
+        )
 
 
 FleetStays.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
@@ -269,15 +274,15 @@
 
 
 @given(st.lists(st.floats(1e-6, 1e6), min_size=1, max_size=30), st.floats(1e-3, 1e3))
-def test_a_table_s_last_sum_is_at_least_all_capacities(rates: list[float], usual: float) -> None:
-    draws, whole = Draws(), 0.0
+def test_a_table_s_last_sum_is_at_least_all_capacities(rates: list[float], median: float) -> None:
+    sampler, whole = ServerSampler(), 0.0
     for rate in rates:
         server = Server(Member("s"), 0.0, 0.5, always_warm)
         server.served, server.busy_ms = 10.0, 10.0 / rate
-        draws.put(server, usual)
-        whole += server.capacity(usual, 0.0)
-    _, sums = draws.table(usual)
-    assert sums[-1] >= whole * (1 - 1e-9) and len(list(draws)) == len(rates) and RISE > 1
+        sampler.put(server, median)
+        whole += server.capacity(median, 0.0)
+    _, sums = sampler.cumulative_bounds(median)
+    assert sums[-1] >= whole * (1 - 1e-9) and len(list(sampler)) == len(rates) and MAX_MEDIAN_RISE > 1
 
 
 @given(st.lists(st.floats(0.01, 3_000), min_size=1, max_size=30), st.integers(0, 5))
--- a/umberworks/call_tracker.py
+++ b/umberworks/call_tracker.py
@@ -35,7 +35,7 @@
     def ended(
         self, attempt: Attempt, outcome: Outcome, cls: interface.RequestClass, median: float, now: float
     ) -> None:
-        """Record the end of an attempt; `median` is the median capacity of the servers, in calls per ms in flight."""
+        """Record the end of an attempt; `median` is the median capacity of servers, in calls per ms."""
         if not attempt.counted:
             return
         server, attempt.counted = attempt.server, False
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -21,7 +21,7 @@
 from umberworks.requests import Attempt, Request, RetryDetector
 from umberworks.rest import Rest
 from umberworks.room import RATE_MEMORY_MS, Room
-from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Pick, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Server, ServerPicker
 from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
 
@@ -63,7 +63,7 @@
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
         self._shares = Shares(settings.tenants, settings.balancers)
         self._asking = Asking(settings, self._random)
-        self._asked, self._counted, self._sliver = False, False, False
+        self._asked, self._counted, self._sparse = False, False, False
         self._refusing_until = -math.inf
         self._actions: list[interface.Action] = []
 
@@ -170,19 +170,19 @@
 
     def _set_eligible(self, server: Server, eligible: bool) -> None:
         if eligible and not server.eligible:
-            self._fleet.enter(server, self._median or 1.0, self._now)
+            self._fleet.add(server, self._median or 1.0, self._now)
         elif server.eligible and not eligible:
-            self._fleet.leave(server, self._median or 1.0, self._now)
+            self._fleet.remove(server, self._median or 1.0, self._now)
         if not eligible:
             self._leaving[server.member.server] = server
 
     def _choose(self) -> None:
         """Size the subset by the calls in memory: with fewer calls each, servers can't be estimated."""
-        calls = self._fleet.calls(self._now)
+        calls = self._fleet.decayed_calls(self._now)
         self._fleet.resize_subset(max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now)
         ready = len(self._fleet.ready)
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
-        self._sliver = self._settings.sizes_exact and calls < CALLS_EACH * ready
+        self._sparse = self._settings.sizes_exact and calls < CALLS_EACH * ready
         self._slow_start.learn(self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now)
 
     # ---- a request's path -----------------------------------------------------------------------
@@ -383,7 +383,7 @@
         median = self._known_median(now)
         count, harmless = self._able(request, now)
         cold, tried = now < self._slow_start.until, [a.server for a in request.attempts]
-        pick = Pick(self._random, now, median, cold, self._sliver)
+        pick = ServerPicker(self._random, now, median, cold, self._sparse)
         crowded = self._counted and self._crowd.tells and harmless is None  # a repeat has few places to go
 
         test: Callable[[Server], bool] | None = None
@@ -405,11 +405,11 @@
         if self._back and not tried and (back := self._put_back(now)) is not None:
             return back
         if harmless is None and count > FEW and len(self._fleet.ready) > FEW:
-            found = pick.among(self._fleet.in_subset, fresh)
+            found = pick.pick_sampled(self._fleet.in_subset, fresh)
             if found is not None:
                 return found
         few = self._look(count, fresh, request) if tried else []
-        return pick.of(few or self._look(count, test, request))
+        return pick.pick_from(few or self._look(count, test, request))
 
     def _put_back(self, now: float) -> Server | None:
         """A server that was put back by hand and has served nothing since: it gets a call a window at most.
@@ -448,5 +448,5 @@
             known = sorted(s.served / s.busy_ms / s.size for s in some if s.served > 0.5 and s.busy_ms > 0)
             if known:
                 self._median = known[len(known) // 2]
-                self._fleet.is_usual(self._median)
+                self._fleet.median_changed(self._median)
         return self._median or 1.0
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -1,11 +1,11 @@
-"""The servers that a balancer knows, and drawing them by capacity (the contract: umberworks/interface.py).
-
-A draw with probability proportional to capacity is a rejection against a bound. Servers lie in buckets by
-a power of two that their capacity can't pass: what is learned of a server only fades towards the usual
-capacity, and calls in flight only lower it, so that a bound holds until the server serves again. A draw
-takes a bucket by its whole bound, a server in it at random, and keeps it with probability capacity / bound.
-The usual capacity is a bound at the least, and half of the servers reach it: a draw takes a few trials,
-however many servers there are.
+"""The servers known to a balancer, and sampling them by capacity (interface: umberworks/interface.py).
+
+Servers are sampled with probability proportional to their capacity, by rejection sampling. They lie in
+buckets by an upper bound of their capacity, a power of two. A bound holds until the server serves a call
+again, since evidence only decays towards the median capacity and calls in flight only lower the estimate. A
+trial picks a bucket with probability proportional to the sum of its bounds and a server in it at random, and
+accepts the server with probability capacity / bound. No bound is below the median capacity, which half of the
+servers reach, so sampling takes a few trials, however many servers there are.
 """
 
 from __future__ import annotations
@@ -18,120 +18,117 @@
 
 from umberworks import interface
 
-EVIDENCE_DECAY_MS = (
-    6_000.0  # evidence fades by 1/e over this; long enough for a few calls, short enough to recover
-)
-PRIOR_CALLS = 2.0  # calls' worth of belief in the median, so that one slow answer does not ruin an estimate
-DRAWS = 4  # d of the design; with few calls out for each server a draw of 2 too often misses the free one
-GOOD = 0.5  # of its usual capacity; below it a server is slow, cold or silent
-TRIALS = 64  # that a pick makes before it gives up; then few servers are able, or none
-RISE = 2.0  # bounds hold until the usual capacity has risen by this
+EVIDENCE_DECAY_MS = 6_000.0  # time constant: long enough for a few calls, short enough to recover
+PRIOR_CALLS = 2.0  # weight of the median in an estimate, in calls, so that one slow answer does not ruin it
+CHOICES = 4  # servers compared in a pick; with few calls out per server, 2 too often miss the idle one
+GOOD_SHARE = 0.5  # a server below this share of the median capacity is slow, cold or silent
+MAX_TRIALS = 64  # trials of a pick before it gives up: then few servers, or none, are acceptable
+MAX_MEDIAN_RISE = 2.0  # the factor by which the median capacity may rise before all bounds are set anew
 
 
+# The share of its capacity, above 0 and up to 1, that a server has at least at a given time.
 Warmth = Callable[["Server", float], float]
 
 
 class Server:
-    """What is known of one server: its list entry, our calls there and the evidence on its capacity."""
+    """A server's list entry, this balancer's calls in flight there, and the evidence on its capacity."""
 
     def __init__(self, member: interface.Member, now: float, rank: float, warmth: Warmth) -> None:
         self.member, self.rank, self.size = member, rank, 1.0
-        self.warmth = warmth  # of a server at a moment: the part that it has of its capacity at the least
-        self.listed_ready, self.eligible, self.last_served_at = (
-            False,
-            False,
-            now,
-        )  # ready by the list; and nobody took it out
-        self.in_flight = 0  # m of the design, held slots of failures included
-        self.calls_out = 0  # the same without these
+        self.warmth = warmth
+        # Ready according to the list; ready and not detached by an operator; when it last served a call.
+        self.listed_ready, self.eligible, self.last_served_at = False, False, now
+        self.in_flight = 0  # calls in flight, including the slots that failed calls still hold
+        self.calls_out = 0  # calls in flight without those slots
         self.last_sent = -math.inf
-        self.reattached_at = (
-            0.0  # when it was last called back by hand: until the list tells, it started then
-        )
-        self.bucket: _Bucket | None = None  # while it is kept to
-        self.index = 0  # in its bucket
-        self.counted = 0.0  # calls of it that count as in memory while it is not kept to
+        # When an operator last attached it again; counts as its start until the list says otherwise.
+        self.reattached_at = 0.0
+        self.bucket: _Bucket | None = None  # its bucket while it is in the subset
+        self.index = 0  # its position in that bucket
+        self.calls_outside_subset = 0.0  # what it adds to `Fleet._other_calls` while it is not in the subset
         self.reset_evidence(now)
 
     def reset_evidence(self, now: float) -> None:
-        """Drop the evidence: the process behind the name is a new one."""
+        """Drop the evidence, as the process that it was about has been replaced or may have been."""
+        # Served calls and the time that calls were in flight, both decayed up to `updated_at`.
         self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.cold_window_ends_at, self.may_send_when_cold = now, False  # see slow_start.py
-        self.mean_calls_out = float(
-            self.calls_out
-        )  # our calls there, in the mean over a third of that memory
+        self.mean_calls_out = float(self.calls_out)  # decayed mean, three times as fast as `served`
         self.concurrency_limit, self.baseline_time = 0.0, 0.0  # see crowd.py; 0: not known
-        self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # served over that memory: aims in ms, calls
+        self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # of served calls, decayed as fast as that mean
         self.concurrency_ceiling, self.rests_until = math.inf, 0.0  # see rest.py
+        # The current measurement block of crowd.py: served calls, their aims, calls out times ms, start.
         self.block_calls, self.block_aims_ms, self.block_call_ms, self.block_start = 0, 0.0, 0.0, now
 
     def catch_up(self, now: float) -> None:
-        """Bring the evidence to `now`: calls in flight add time, and all of it fades."""
+        """Bring the evidence up to `now`: add the time of calls in flight, and let all of it decay."""
         gap = now - self.updated_at
         if gap > 0:
             fade = math.exp(-gap / EVIDENCE_DECAY_MS)
             self.served *= fade
-            # The time that calls in flight add fades too: one long gap comes to as much as many short ones.
-            # It counts as warm time: what a cold server shows tells what it will do once it is warm.
+            # The time that calls in flight add decays within the gap: one long gap adds as much as many short
+            # ones. It is scaled by the warmth, so that the estimate is of the capacity when warm.
             self.busy_ms *= fade
             if self.in_flight:
                 self.busy_ms += self.in_flight * EVIDENCE_DECAY_MS * (1 - fade) * self.warmth(self, now)
-            third = fade * fade * fade
-            self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * third
-            self.recent_aims_ms *= third
-            self.recent_calls *= third
+            fast_fade = fade * fade * fade
+            self.mean_calls_out = self.calls_out + (self.mean_calls_out - self.calls_out) * fast_fade
+            self.recent_aims_ms *= fast_fade
+            self.recent_calls *= fast_fade
             self.block_call_ms += self.calls_out * gap
             self.updated_at = now
 
     def time_in_service(self) -> float:
-        """How long its calls take now, in aims; 0 where it has served none of late."""
+        """Mean time in service of recent calls, as a multiple of their aims; 0 without recent calls."""
         return (
             self.mean_calls_out * EVIDENCE_DECAY_MS / 3 / self.recent_aims_ms if self.recent_aims_ms else 0.0
         )
 
-    def capacity(self, usual: float, now: float) -> float:
-        """c of the design when it is warm: served calls over our time in flight, leaning on what is usual."""
+    def capacity(self, median: float, now: float) -> float:
+        """Estimate of its capacity when warm, in calls per ms in flight, with the median as a prior."""
         self.catch_up(now)
-        return (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (usual * self.size))
+        return (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (median * self.size))
 
-    def bound(self, usual: float) -> float:
-        """What its capacity can't pass from now on, unless it is what is usual; 0 without evidence."""
+    def capacity_bound(self, median: float) -> float:
+        """Upper bound of its capacity until it serves again, unless the median is higher; 0: no evidence."""
         if not self.served:
             return 0.0
-        leaning = (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (RISE * usual))
-        return min(leaning, self.served / self.busy_ms) if self.busy_ms > 0 else leaning
+        estimate = (self.served + PRIOR_CALLS) / (self.busy_ms + PRIOR_CALLS / (MAX_MEDIAN_RISE * median))
+        return min(estimate, self.served / self.busy_ms) if self.busy_ms > 0 else estimate
 
 
 class _Bucket:
-    __slots__ = ("largest", "servers", "top")
+    """Servers whose capacity per size is at most `top_capacity`, and whose size at most `largest_size`."""
+
+    __slots__ = ("largest_size", "servers", "top_capacity")
 
-    def __init__(self, top: float, largest: float) -> None:
-        self.top, self.largest = top, largest  # no capacity for each size, and no size, is above these
+    def __init__(self, top_capacity: float, largest_size: float) -> None:
+        self.top_capacity, self.largest_size = top_capacity, largest_size
         self.servers: list[Server] = []
 
 
-class Draws:
-    """A set of servers to draw from."""
+class ServerSampler:
+    """A set of servers that can be sampled by capacity."""
 
     def __init__(self) -> None:
         self._buckets: dict[tuple[int, int], _Bucket] = {}
         self._table: tuple[float, list[_Bucket], list[float]] | None = None
 
-    def put(self, server: Server, usual: float) -> None:
-        """Take a server in, or set its bound anew; `usual` is the capacity for each size."""
-        bound, size = server.bound(usual * server.size) / server.size, server.size
+    def put(self, server: Server, median: float) -> None:
+        """Add a server, or set its bound anew; `median` is the median capacity per size."""
+        bound, size = server.capacity_bound(median * server.size) / server.size, server.size
         key = (math.frexp(bound)[1] if bound else -10_000, 0 if size == 1.0 else math.frexp(size)[1])
         bucket = self._buckets.get(key)
         if bucket is None:
-            top = 2.0 ** key[0] if bound else 0.0
-            bucket = self._buckets[key] = _Bucket(top, 1.0 if size == 1.0 else 2.0 ** key[1])
+            top_capacity = 2.0 ** key[0] if bound else 0.0
+            bucket = self._buckets[key] = _Bucket(top_capacity, 1.0 if size == 1.0 else 2.0 ** key[1])
         if bucket is not server.bucket:
             self.drop(server)
             server.bucket, server.index = bucket, len(bucket.servers)
             bucket.servers.append(server)
 
     def drop(self, server: Server) -> None:
-        """Let a server go, if it is in."""
+        """Remove a server, if it is in the set."""
         self._table = None
         bucket, server.bucket = server.bucket, None
         if bucket is not None:
@@ -139,12 +136,14 @@
             if last is not server:
                 bucket.servers[server.index], last.index = last, server.index
 
-    def table(self, usual: float) -> tuple[list[_Bucket], list[float]]:
-        """The buckets that hold a server, and their whole bounds, each with those before it."""
-        if self._table is None or self._table[0] != usual:
+    def cumulative_bounds(self, median: float) -> tuple[list[_Bucket], list[float]]:
+        """The buckets that aren't empty, and the cumulative sums of the bounds of all their servers."""
+        if self._table is None or self._table[0] != median:
             buckets = [b for b in self._buckets.values() if b.servers]
-            sums = list(accumulate(len(b.servers) * b.largest * max(b.top, usual) for b in buckets))
-            self._table = (usual, buckets, sums)
+            sums = list(
+                accumulate(len(b.servers) * b.largest_size * max(b.top_capacity, median) for b in buckets)
+            )
+            self._table = (median, buckets, sums)
         return self._table[1], self._table[2]
 
     def __iter__(self) -> Iterator[Server]:
@@ -153,143 +152,153 @@
 
 
 class Fleet:
-    """The ready servers in the order of their ranks; the first `keeps` of them can be drawn from."""
+    """The eligible servers in order of rank; the first `subset_size` of them are the subset that is used.
+
+    Each balancer draws its own random ranks, so that the subsets of many balancers cover the fleet.
+    """
 
     def __init__(self) -> None:
         self.ready: list[Server] = []
-        self.in_subset = Draws()
+        self.in_subset = ServerSampler()
         self.subset_size = 0
-        self._lowest = 1.0  # usual capacity since all bounds were set
-        # Served calls in memory: of the kept ones as of a moment, of the others as of when they were let go.
-        self._kept_calls, self._as_of, self._other_calls = 0.0, 0.0, 0.0
+        self._lowest_median = 1.0  # lowest median capacity since all bounds were last set
+        # Decayed served calls: of the subset as of a time, and of the others as of when each left the subset.
+        self._subset_calls, self._subset_calls_at, self._other_calls = 0.0, 0.0, 0.0
 
-    def enter(self, server: Server, usual: float, now: float) -> None:
-        """A server is ready."""
+    def add(self, server: Server, median: float, now: float) -> None:
+        """Add a server that has become eligible."""
         i = bisect(self.ready, server.rank, key=_rank)
         self.ready.insert(i, server)
-        self._take(server, i < self.subset_size, usual, now)
+        self._assign(server, i < self.subset_size, median, now)
         server.eligible = True
         if i < self.subset_size < len(self.ready):
-            self._take(self.ready[self.subset_size], False, usual, now)
+            self._assign(self.ready[self.subset_size], False, median, now)
 
-    def leave(self, server: Server, usual: float, now: float) -> None:
-        """A server is not ready any more."""
+    def remove(self, server: Server, median: float, now: float) -> None:
+        """Remove a server that is not eligible any more."""
         i = bisect_left(self.ready, server.rank, key=_rank)
         while self.ready[i] is not server:
             i += 1
         del self.ready[i]
-        self._let_go(server, now)
+        self._unassign(server, now)
         server.eligible = False
         if i < self.subset_size <= len(self.ready):
-            self._take(self.ready[self.subset_size - 1], True, usual, now)
+            self._assign(self.ready[self.subset_size - 1], True, median, now)
 
-    def resize_subset(self, count: int, usual: float, now: float) -> None:
-        """Keep to so many."""
+    def resize_subset(self, count: int, median: float, now: float) -> None:
+        """Make the first `count` servers by rank the subset."""
         for server in self.ready[self.subset_size : count]:
-            self._take(server, True, usual, now)
+            self._assign(server, True, median, now)
         for server in self.ready[count : self.subset_size]:
-            self._take(server, False, usual, now)
+            self._assign(server, False, median, now)
         self.subset_size = count
 
-    def calls(self, now: float) -> float:
-        """Served calls in memory, over all ready servers."""
-        if now > self._as_of:
-            self._kept_calls *= math.exp((self._as_of - now) / EVIDENCE_DECAY_MS)
-            self._as_of = now
-        return self._kept_calls + self._other_calls
+    def decayed_calls(self, now: float) -> float:
+        """Decayed number of served calls, over all eligible servers."""
+        if now > self._subset_calls_at:
+            self._subset_calls *= math.exp((self._subset_calls_at - now) / EVIDENCE_DECAY_MS)
+            self._subset_calls_at = now
+        return self._subset_calls + self._other_calls
 
-    def served(self, server: Server, usual: float, now: float) -> None:
-        """A server has served: its capacity may have risen."""
+    def served(self, server: Server, median: float, now: float) -> None:
+        """Count a served call, and update the server's bound, as its capacity may have risen."""
         if (bucket := server.bucket) is not None:
-            self.calls(now)
-            self._kept_calls += 1
-            if not bucket.top / 4 < server.bound(usual * server.size) / server.size <= bucket.top:
-                self.in_subset.put(server, usual)
+            self.decayed_calls(now)
+            self._subset_calls += 1
+            if (
+                not bucket.top_capacity / 4
+                < server.capacity_bound(median * server.size) / server.size
+                <= bucket.top_capacity
+            ):
+                self.in_subset.put(server, median)
         elif server.eligible:
-            server.counted += 1
+            server.calls_outside_subset += 1
             self._other_calls += 1
 
-    def is_usual(self, usual: float) -> None:
-        """The usual capacity has changed."""
-        if usual > RISE * self._lowest:
+    def median_changed(self, median: float) -> None:
+        """Set all bounds anew if the median capacity has risen too far since they were last set."""
+        if median > MAX_MEDIAN_RISE * self._lowest_median:
             for server in self.in_subset:
-                self.in_subset.put(server, usual)
-            self._lowest = usual
-        self._lowest = min(self._lowest, usual)
+                self.in_subset.put(server, median)
+            self._lowest_median = median
+        self._lowest_median = min(self._lowest_median, median)
 
-    def _take(self, server: Server, in_subset: bool, usual: float, now: float) -> None:
-        self._let_go(server, now)
+    def _assign(self, server: Server, in_subset: bool, median: float, now: float) -> None:
+        self._unassign(server, now)
         if in_subset:
-            self._kept_calls += server.served
-            self.in_subset.put(server, usual)
+            self._subset_calls += server.served
+            self.in_subset.put(server, median)
         else:
-            server.counted = server.served
-            self._other_calls += server.counted
+            server.calls_outside_subset = server.served
+            self._other_calls += server.calls_outside_subset
 
-    def _let_go(self, server: Server, now: float) -> None:
-        self.calls(now)
+    def _unassign(self, server: Server, now: float) -> None:
+        self.decayed_calls(now)
         server.catch_up(now)
         if server.bucket is not None:
-            self._kept_calls = max(self._kept_calls - server.served, 0.0)
+            self._subset_calls = max(self._subset_calls - server.served, 0.0)
             self.in_subset.drop(server)
         elif server.eligible:
-            self._other_calls = max(self._other_calls - server.counted, 0.0)
+            self._other_calls = max(self._other_calls - server.calls_outside_subset, 0.0)
 
 
 def _rank(server: Server) -> float:
     return server.rank
 
 
-class Pick:
-    """The ordinary path: some servers drawn by capacity, and of these the one least loaded after this call.
+class ServerPicker:
+    """Samples some servers by capacity, and picks the one with the lowest load after this call.
 
-    Of few calls our counts are mostly 0, and the fastest of four idle servers would always win: there
-    (`sliver`) an idle server in good standing ends the draws, and shares follow capacity, no power of it.
+    Where calls are few (`sparse`), most counts of calls in flight are 0, and the fastest of the sampled
+    servers would always win. There an idle server of good capacity ends the sampling, so that the servers'
+    shares of the calls are proportional to their capacity, and not to a power of it.
     """
 
-    def __init__(self, chance: random.Random, now: float, usual: float, cold: bool, sliver: bool) -> None:
-        self._random, self._now, self._usual = chance.random, now, usual
-        self._cold, self._sliver = cold, sliver  # not cold: all are warm
+    def __init__(self, rng: random.Random, now: float, median: float, cold: bool, sparse: bool) -> None:
+        self._random, self._now, self._median = rng.random, now, median
+        self._cold, self._sparse = cold, sparse  # whether a server may be cold; whether calls are few
         self._best = (math.inf, 0.0, 0.0)
         self._chosen: Server | None = None
 
-    def _offer(self, server: Server, capacity: float) -> bool:
-        """Take note of a server that was drawn; whether it ends the draws."""
+    def _consider(self, server: Server, capacity: float) -> bool:
+        """Compare a sampled server with the best one so far; whether to stop sampling."""
         load = ((server.in_flight + 1) / capacity, -capacity, self._random())
         if load < self._best:
             self._best, self._chosen = load, server
-        return self._sliver and not server.in_flight and capacity >= GOOD * self._usual * server.size
+        return self._sparse and not server.in_flight and capacity >= GOOD_SHARE * self._median * server.size
 
-    def of(self, able: list[Server]) -> Server | None:
-        """The pick of a list, by a walk over it."""
+    def pick_from(self, candidates: list[Server]) -> Server | None:
+        """Pick one of a list, whose capacities are all computed; None only if the list is empty."""
         self._best, self._chosen = (math.inf, 0.0, 0.0), None
-        if not able:
+        if not candidates:
             return None
-        usual, now = self._usual, self._now
-        capacity = [s.capacity(usual, now) * (s.warmth(s, now) if self._cold else 1.0) for s in able]
+        median, now = self._median, self._now
+        capacity = [s.capacity(median, now) * (s.warmth(s, now) if self._cold else 1.0) for s in candidates]
         sums = list(accumulate(capacity))
-        for _ in range(DRAWS):
-            i = min(bisect(sums, self._random() * sums[-1]), len(able) - 1)
-            if self._offer(able[i], capacity[i]):
+        for _ in range(CHOICES):
+            i = min(bisect(sums, self._random() * sums[-1]), len(candidates) - 1)
+            if self._consider(candidates[i], capacity[i]):
                 break
-        return self._chosen or able[-1]
-
-    def among(self, draws: Draws, test: Callable[[Server], bool] | None) -> Server | None:
-        """The pick of a set's servers that pass a test; None if too few pass to be met with by chance."""
-        usual, now, cold = self._usual, self._now, self._cold
-        buckets, sums = draws.table(usual)
-        drawn, whole, last = 0, sums[-1], len(sums) - 1
-        for _ in range(TRIALS):
-            x = self._random() * whole
-            j = min(bisect(sums, x), last)
+        return self._chosen or candidates[-1]
+
+    def pick_sampled(self, sampler: ServerSampler, accepts: Callable[[Server], bool] | None) -> Server | None:
+        """Pick an acceptable server of a set; None if sampling does not find `CHOICES` of them in time."""
+        median, now, cold = self._median, self._now, self._cold
+        buckets, sums = sampler.cumulative_bounds(median)
+        drawn, total, last = 0, sums[-1], len(sums) - 1
+        for _ in range(MAX_TRIALS):
+            position = self._random() * total
+            j = min(bisect(sums, position), last)
             bucket = buckets[j]
-            i, part = divmod(x - (sums[j - 1] if j else 0.0), bucket.largest * max(bucket.top, usual))
+            i, offset = divmod(
+                position - (sums[j - 1] if j else 0.0), bucket.largest_size * max(bucket.top_capacity, median)
+            )
             server = bucket.servers[min(int(i), len(bucket.servers) - 1)]
-            capacity = server.capacity(usual, now)
+            capacity = server.capacity(median, now)
             if cold:
                 capacity *= server.warmth(server, now)
-            if part < capacity and (test is None or test(server)):
+            if offset < capacity and (accepts is None or accepts(server)):
                 drawn += 1
-                if self._offer(server, capacity) or drawn == DRAWS:
+                if self._consider(server, capacity) or drawn == CHOICES:
                     return self._chosen
         return None
