--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -12,17 +12,17 @@
 from heapq import heapify, heappop, heappush
 
 from umberworks import interface
-from umberworks.asking import Asking
+from umberworks.admission import RATE_DECAY_MS, AdmissionControl
 from umberworks.call_tracker import CallTracker
-from umberworks.crowd import Crowd
-from umberworks.inherit import Heritage, told
+from umberworks.concurrency import ConcurrencyLimits
+from umberworks.handover import Handover, export_state
 from umberworks.interface import DedupScope, Effect, ListKind, Outcome
-from umberworks.kinds import Kinds
+from umberworks.kinds import KindSpeeds
+from umberworks.list_backoff import ListBackoff
+from umberworks.quotas import TenantQuotas
+from umberworks.recovery import Recovery
 from umberworks.requests import Attempt, Request, RetryDetector
-from umberworks.rest import Rest
-from umberworks.room import RATE_MEMORY_MS, Room
 from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Server, ServerPicker
-from umberworks.shares import Shares
 from umberworks.slow_start import SlowStart
 
 FEW = 16  # of up to so many servers a pick walks over all, which takes as long as trials
@@ -55,14 +55,14 @@
         self._requests: dict[int, Request] = {}
         self._waiting: list[tuple[bool, float, int]] = []
         self._retries, self._now = RETRY_BURST, 0.0
-        self._room = Room(settings.balancers)
-        self._crowd = Crowd(settings.balancers, settings.calling_tier)
-        self._rest, self._heritage, self._kinds = Rest(), Heritage(), Kinds(settings.sizes_exact)
+        self._room = AdmissionControl(settings.balancers)
+        self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
+        self._rest, self._heritage, self._kinds = Recovery(), Handover(), KindSpeeds(settings.sizes_exact)
         self._call_tracker = CallTracker(self._room, self._fleet, self._crowd)
         self._retry_detectors = {c.name: RetryDetector() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
-        self._shares = Shares(settings.tenants, settings.balancers)
-        self._asking = Asking(settings, self._random)
+        self._shares = TenantQuotas(settings.tenants, settings.balancers)
+        self._asking = ListBackoff(settings, self._random)
         self._asked, self._counted, self._sparse = False, False, False
         self._refusing_until = -math.inf
         self._actions: list[interface.Action] = []
@@ -72,7 +72,7 @@
         self._actions = []
         if self._settings.pulls_list and (isinstance(event, interface.DiscoveryMoved) or not self._asked):
             self._asked = True
-            wait = self._asking.first()
+            wait = self._asking.initial_delay()
             self._actions.append(interface.SetTimer(now + wait, "list") if wait else interface.Subscribe())
         self._call_tracker.release(now)
         self._room.catch_up(now)
@@ -99,8 +99,8 @@
             case interface.BodyEnded():
                 self._body_ended(event, now)
             case interface.LearnedState():
-                self._heritage.take(event, self._room)
-                self._draw_anew(self._heritage.give)
+                self._heritage.load(event, self._room)
+                self._draw_anew(self._heritage.apply)
             case interface.BodyDiscarded():
                 if (request := self._requests.get(event.request)) is not None:
                     request.body_discarded = True
@@ -111,7 +111,9 @@
         if event.kind is ListKind.FAILED:
             if not self._asking.failures:
                 self._actions.append(interface.Log("server list out of reach; keeping the last one"))
-            self._actions.append(interface.SetTimer(now + self._asking.again(event.since_contact_ms), "list"))
+            self._actions.append(
+                interface.SetTimer(now + self._asking.retry_delay(event.since_contact_ms), "list")
+            )
             return
         if self._asking.failures and event.kind is not ListKind.SAVED:
             self._asking.failures = 0
@@ -126,8 +128,8 @@
             if server is None:
                 server = Server(member, now, self._random.random(), self._slow_start.warmth)
                 self._servers[member.server] = server
-                self._heritage.give(server)
-            size = self._kinds.size(member)
+                self._heritage.apply(server)
+            size = self._kinds.estimated_size(member)
             if member.up_since_ms > server.member.up_since_ms or size != server.size:
                 self._set_eligible(server, False)  # what it is drawn by changes
             if member.up_since_ms > server.member.up_since_ms:
@@ -135,7 +137,7 @@
             server.member, server.size = member, size
             server.listed_ready = member.readiness is interface.Readiness.READY
             self._set_eligible(server, server.listed_ready and member.server not in self._detached)
-            self._slow_start.started(member.up_since_ms)
+            self._slow_start.note_start(member.up_since_ms)
         for name, server in list(self._leaving.items()):
             if server.listed_ready or not server.in_flight:
                 del self._leaving[name]
@@ -149,7 +151,7 @@
         server = self._servers.get(event.server)
         was_out = event.server in self._detached
         self._detached.discard(event.server)
-        self._slow_start.started(event.at_ms)
+        self._slow_start.note_start(event.at_ms)
         if server is not None and (was_out or server.reattached_at < event.at_ms):
             server.reattached_at = max(server.reattached_at, event.at_ms)
             self._set_eligible(server, False)
@@ -159,7 +161,7 @@
 
     def learned(self, now: float) -> interface.LearnedState:
         """What a version that takes over from this one should know."""
-        return told(self._room, self._fleet.ready, now)
+        return export_state(self._room, self._fleet.ready, now)
 
     def _draw_anew(self, change: Callable[[Server], None]) -> None:
         """Change what the ready servers are drawn by."""
@@ -183,7 +185,7 @@
         ready = len(self._fleet.ready)
         self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
         self._sparse = self._settings.sizes_exact and calls < CALLS_EACH * ready
-        self._slow_start.learn(self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now)
+        self._slow_start.update(self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now)
 
     # ---- a request's path -----------------------------------------------------------------------
 
@@ -193,7 +195,7 @@
         if event.class_name not in self._classes:
             raise ValueError(f"request {event.request} is of unknown class {event.class_name!r}")
         request = Request(event, self._classes[event.class_name], now)
-        request.over_share = self._shares.is_over(event.tenant, now)
+        request.over_share = self._shares.exceeds_quota(event.tenant, now)
         if self._settings.calling_tier == 0:
             self._retry_detectors[request.cls.name].observe(request, event.remaining_ms)
         self._requests[request.id] = request
@@ -231,7 +233,7 @@
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
-            self._actions.append(interface.Log(f"no room: refusing; {self._room.out} calls out"))
+            self._actions.append(interface.Log(f"no room: refusing; {self._room.in_flight} calls out"))
         self._refusing_until = now + EVIDENCE_DECAY_MS
         self._give_up(request)
 
@@ -253,12 +255,12 @@
         """Whether to refuse by the mean time in service; calls still out are in it: a stall shows at once."""
         if self._counted or self._settings.calling_tier > 0:
             return False
-        return self._random.random() >= self._room.chance(request.cls.aim_ms, request.over_share)
+        return self._random.random() >= self._room.admit_probability(request.cls.aim_ms, request.over_share)
 
     def _has_room(self) -> bool:
         if not self._counted or self._settings.calling_tier > 0:
             return True  # inner tiers let all in: a refusal there wastes what the tiers above have done
-        return self._room.out < self._room.size(len(self._fleet.ready))
+        return self._room.in_flight < self._room.limit(len(self._fleet.ready))
 
     def _try_send(self, request: Request, now: float) -> bool:
         timeout = request.timeout(now)
@@ -274,8 +276,8 @@
         if not request.body_incomplete:  # else its server has nothing to do yet
             self._call_tracker.out(attempt, now)
         self._actions.append(interface.Send(request.id, server.member.server, timeout))
-        if self._room.mean and self._settings.may_duplicate and request.can_be_duplicated():
-            patience = PATIENCE * self._room.mean * request.cls.aim_ms
+        if self._room.mean_service_time and self._settings.may_duplicate and request.can_be_duplicated():
+            patience = PATIENCE * self._room.mean_service_time * request.cls.aim_ms
             self._actions.append(interface.SetTimer(now + patience, f"copy:{request.id}"))
         return True
 
@@ -382,9 +384,9 @@
         """Draw servers by capacity and take the one least loaded after this call."""
         median = self._known_median(now)
         count, harmless = self._able(request, now)
-        cold, tried = now < self._slow_start.until, [a.server for a in request.attempts]
+        cold, tried = now < self._slow_start.cold_until, [a.server for a in request.attempts]
         pick = ServerPicker(self._random, now, median, cold, self._sparse)
-        crowded = self._counted and self._crowd.tells and harmless is None  # a repeat has few places to go
+        crowded = self._counted and self._crowd.enabled and harmless is None  # a repeat has few places to go
 
         test: Callable[[Server], bool] | None = None
         if cold or crowded or harmless is not None:
@@ -392,8 +394,8 @@
             def test(server: Server) -> bool:
                 return (
                     (harmless is None or harmless(server))
-                    and (not cold or self._slow_start.has_room(server, now))
-                    and (not crowded or (self._crowd.has_room(server, now) and server.rests_until <= now))
+                    and (not cold or self._slow_start.admits(server, now))
+                    and (not crowded or (self._crowd.admits(server, now) and server.rests_until <= now))
                 )
 
         fresh = test
@@ -424,7 +426,7 @@
         window = self._settings.cold_window_ms
         due = (s for s in self._back if s.eligible and now - s.last_sent >= window)
         # Many balancers may be told at one moment: the budget of all holds here too.
-        return next((s for s in due if self._slow_start.has_room(s, now)), None)
+        return next((s for s in due if self._slow_start.admits(s, now)), None)
 
     def _look(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
         """The first ready servers that pass a test, of so many that a walk over them is short."""
@@ -436,15 +438,15 @@
 
     def _known_median(self, now: float) -> float:
         """The median of the known estimates; measures of the whole fleet are taken now and then only."""
-        if now - self._median_at >= RATE_MEMORY_MS / 4:
+        if now - self._median_at >= RATE_DECAY_MS / 4:
             self._median_at = now
             self._choose()
             some = self._fleet.ready[:WALK]
-            if self._counted and self._crowd.tells:
-                said = self._rest.look(some, now < self._refusing_until, self._crowd.least, now)
+            if self._counted and self._crowd.enabled:
+                said = self._rest.update(some, now < self._refusing_until, self._crowd.min_limit, now)
                 self._actions += [interface.Log(said)] if said else []
-            if self._kinds.learn(some, now):
-                self._draw_anew(self._kinds.give)
+            if self._kinds.update(some, now):
+                self._draw_anew(self._kinds.set_size)
             known = sorted(s.served / s.busy_ms / s.size for s in some if s.served > 0.5 and s.busy_ms > 0)
             if known:
                 self._median = known[len(known) // 2]
