--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -47,12 +47,12 @@
 
     def line(self, now: float) -> str:
         """The figures as words of the form name=value; times in aims but for those that say so."""
-        room, ready = self._room, self._fleet.ready
+        room, ready = self._load, self._fleet.ready
         usual = self._median or 1.0
         parts: dict[str, object] = {
             "now_ms": round(now),
             "open": len(self._requests),
-            "waiting": len(self._waiting),
+            "waiting": len(self._wait_queue),
             "out": room.in_flight,
             "size": f"{room.limit(len(ready)):.1f}",
             "mean": f"{room.mean_service_time:.3f}",
@@ -60,7 +60,7 @@
             "aims_ms": f"{room._served_aims_ms:.0f}",
             "spent_ms": f"{room._in_flight_time_ms:.0f}",
             "savings": f"{self._retries:.1f}",
-            "counted": int(self._counted),
+            "counted": int(self._counts_usable),
             "cold": sum(self._slow_start.warmth(s, now) < 1 for s in ready),
             **self._counts,
         }
@@ -70,14 +70,14 @@
         )
         return " ".join(f"{name}={value}" for name, value in parts.items()) + f" servers {each}"
 
-    def _refuse_for_room(self, request: Request, now: float) -> None:
+    def _refuse_overload(self, request: Request, now: float) -> None:
         self._for_room = True
         try:
-            super()._refuse_for_room(request, now)
+            super()._refuse_overload(request, now)
         finally:
             self._for_room = False
 
-    def _give_up(self, request: Request) -> None:
+    def _refuse_or_fail(self, request: Request) -> None:
         match self._event:
             case interface.RequestArrived():
                 why = "no_crowd" if self._for_room else "no_connection"
@@ -86,4 +86,4 @@
             case _:
                 why = "no_savings" if self._retries < 1 else "no_try_left"
         self._counts[why] += 1
-        super()._give_up(request)
+        super()._refuse_or_fail(request)
--- a/tests/reference_pick.py
+++ b/tests/reference_pick.py
@@ -37,7 +37,7 @@
 
 def pick(balancer: Balancer, request: Any, now: float) -> Server | None:
     """A walk, the sums, and the sampler."""
-    median = balancer._known_median(now)
+    median = balancer._refresh_median(now)
     found = able(balancer, request, now)
     if not found:
         return None
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -86,10 +86,10 @@
         super().__init__(settings, seed)
         self._slow_start = _AllWarm(settings, self._random)
 
-    def _has_room(self) -> bool:
+    def _below_limit(self) -> bool:
         return True
 
-    def _crowded(self, request: Any) -> bool:
+    def _is_overloaded(self, request: Any) -> bool:
         return False
 
     def _pick(self, request: Any, now: float) -> Any:
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -34,17 +34,21 @@
     request, actions = harness.new_request(ORDER, body_open=True)
     (send,) = sent(actions)
     assert send.timeout_ms == math.inf
-    assert (in_flight(harness), harness.balancer._room.in_flight) == (
+    assert (in_flight(harness), harness.balancer._load.in_flight) == (
         0,
         0,
     )  # its server has nothing to do yet
     harness.now += 60_000
     (limit,) = of_kind(harness.deliver(BodyEnded(request, 2_500)), SetAttemptTimeout)
     assert limit == SetAttemptTimeout(request, 0, 1_000)  # the class is worth nothing past its aim
-    assert (in_flight(harness), harness.balancer._room.in_flight) == (1, 1)
+    assert (in_flight(harness), harness.balancer._load.in_flight) == (1, 1)
     harness.now += 50
     assert not of_kind(harness.end_attempt(request, 0, send.server, Outcome.SERVED), Refuse, Fail)
-    assert (in_flight(harness), harness.balancer._room.in_flight, harness.balancer._requests) == (0, 0, {})
+    assert (in_flight(harness), harness.balancer._load.in_flight, harness.balancer._requests) == (
+        0,
+        0,
+        {},
+    )
 
 
 def test_one_that_breaks_before_it_is_whole_leaves_nothing_behind_at_its_server() -> None:
@@ -52,7 +56,7 @@
     request, actions = harness.new_request(ORDER, body_open=True)
     ended = harness.end_attempt(request, 0, sent(actions)[0].server, Outcome.UNREACHED)
     assert of_kind(ended, Refuse) == [Refuse(request, 0.0)]
-    assert (in_flight(harness), harness.balancer._room.in_flight) == (0, 0)
+    assert (in_flight(harness), harness.balancer._load.in_flight) == (0, 0)
 
 
 @pytest.mark.parametrize("cls", [READ, ORDER, PAY])
@@ -111,7 +115,11 @@
     ended = harness.end_attempt(request, 1, copies[0].server, Outcome.SERVED)
     assert not of_kind(ended, Send, Refuse, Fail)
     assert harness.balancer._servers[copies[0].server].served <= served  # not booked twice
-    assert (in_flight(harness), harness.balancer._room.in_flight, harness.balancer._requests) == (0, 0, {})
+    assert (in_flight(harness), harness.balancer._load.in_flight, harness.balancer._requests) == (
+        0,
+        0,
+        {},
+    )
 
 
 def test_one_that_breaks_after_it_has_begun_is_over() -> None:
@@ -178,4 +186,4 @@
     harness.deliver(TimerDue(f"wait:{request}"))
     assert ends <= 1
     assert not harness.balancer._requests
-    assert (in_flight(harness), harness.balancer._room.in_flight) == (0, 0)
+    assert (in_flight(harness), harness.balancer._load.in_flight) == (0, 0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -316,7 +316,7 @@
     for _ in range(2_000):
         harness.now += 60_000
         harness.update_list(*members(2))
-    assert harness.balancer._room.base_service_time <= 1.0
+    assert harness.balancer._load.base_service_time <= 1.0
 
 
 def test_inner_tiers_hardly_hold_back_what_others_have_worked_on() -> None:
@@ -573,7 +573,7 @@
             if isinstance(timer, SetTimer) and timer.token.startswith("wait:"):
                 harness.deliver(TimerDue(timer.token))
     assert len(harness.balancer._requests) < 100
-    assert len(harness.balancer._waiting) < 200
+    assert len(harness.balancer._wait_queue) < 200
 
 
 def test_a_sliver_of_the_traffic_is_admitted_by_time_not_by_count() -> None:
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -16,7 +16,7 @@
 from tests.helpers import ANYWHERE, PAY, READ, BalancerHarness, always_warm, sent
 from umberworks.interface import ListKind, Member, Outcome, Readiness, RequestArrived
 from umberworks.requests import Attempt, Request
-from umberworks.rules import FEW, WALK, Balancer
+from umberworks.rules import MAX_FULL_PICK, MAX_WALK, Balancer
 from umberworks.servers import EVIDENCE_DECAY_MS, MAX_MEDIAN_RISE, MAX_TRIALS, Fleet, Server, ServerSampler
 
 PICKS = 30_000
@@ -87,7 +87,7 @@
 )
 def test_picks_are_those_of_the_walk_in_distribution(count: int, spread: float, seed: int) -> None:
     harness = taught(count, spread, seed)
-    assert harness.balancer._fleet.subset_size > FEW
+    assert harness.balancer._fleet.subset_size > MAX_FULL_PICK
     same(harness.balancer, request(), harness.now, PICKS if count < 100 else PICKS // 4)
     harness.now += 4_000  # evidence has faded, nobody has been touched since
     same(harness.balancer, request(), harness.now, PICKS // 8)
@@ -148,14 +148,14 @@
     harness = taught(3_000, 1.0, 10, calls=4_000)
     balancer = harness.balancer
     balancer._fleet.resize_subset(3_000, 1.0, harness.now)
-    monkeypatch.setattr(balancer, "_choose", lambda: None)
+    monkeypatch.setattr(balancer, "_resize_subset", lambda: None)
     looked = Counter[str]()
     monkeypatch.setattr(
         balancer._slow_start, "admits", lambda server, now: looked.update([server.member.server])
     )
     balancer._slow_start.cold_until = math.inf
     assert balancer._pick(request(), harness.now) is None
-    assert looked.total() <= MAX_TRIALS + WALK
+    assert looked.total() <= MAX_TRIALS + MAX_WALK
 
 
 def test_a_list_of_ten_thousand_that_flaps_keeps_the_fleet_whole() -> None:
--- a/umberworks/call_tracker.py
+++ b/umberworks/call_tracker.py
@@ -18,8 +18,8 @@
     A failed call keeps its slot until its full timeout: a server that fails fast must not look idle.
     """
 
-    def __init__(self, room: AdmissionControl, fleet: Fleet, crowd: ConcurrencyLimits) -> None:
-        self._room, self._fleet, self._crowd = room, fleet, crowd
+    def __init__(self, load: AdmissionControl, fleet: Fleet, limits: ConcurrencyLimits) -> None:
+        self._load, self._fleet, self._limits = load, fleet, limits
         # Heap of failed calls' slots: release time, number (servers can't be compared), server.
         self._held: list[tuple[float, int, Server]] = []
         self._held_count = 0
@@ -30,7 +30,7 @@
         server.catch_up(now)
         server.in_flight += 1
         server.calls_out += 1
-        self._room.in_flight += 1
+        self._load.in_flight += 1
 
     def ended(
         self, attempt: Attempt, outcome: Outcome, cls: interface.RequestClass, median: float, now: float
@@ -41,13 +41,13 @@
         server, attempt.counted = attempt.server, False
         server.catch_up(now)
         server.calls_out -= 1
-        self._room.in_flight -= 1
+        self._load.in_flight -= 1
         if outcome is Outcome.SERVED:
             server.served += 1
             server.last_served_at = now
             self._fleet.served(server, median, now)
-            self._room.record_served(cls.aim_ms, now)
-            self._crowd.record_served(server, cls.aim_ms, now)
+            self._load.record_served(cls.aim_ms, now)
+            self._limits.record_served(server, cls.aim_ms, now)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.times_out_at > now:
             self._held_count += 1
             heappush(self._held, (attempt.times_out_at, self._held_count, server))
--- a/umberworks/requests.py
+++ b/umberworks/requests.py
@@ -49,7 +49,7 @@
         self.since_first_try_ms = 0.0  # time from the client's first try to the arrival of this one
         self.attempts: list[Attempt] = []
         self.unanswered, self.over_share, self.streaming = True, False, False
-        self.body_discarded = False  # part of the body was sent and not kept: it can't be sent again
+        self.one_shot = False  # part of the body was sent and not kept: it can't be sent again
         self.body_incomplete = event.body_open  # no deadline and no target time until it is complete
         if self.body_incomplete:
             self.deadline = self.aim_at = math.inf
@@ -61,7 +61,7 @@
 
     def can_be_duplicated(self) -> bool:
         """Whether a second attempt can be sent while the first one is in flight."""
-        return self.cls.effect is not Effect.ONCE and not (self.body_incomplete or self.body_discarded)
+        return self.cls.effect is not Effect.ONCE and not (self.body_incomplete or self.one_shot)
 
     def timeout(self, now: float) -> float:
         """The timeout of an attempt that is sent now, in milliseconds."""
--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -1,7 +1,7 @@
 """Every decision of the balancer; its types, events and actions are in umberworks/interface.py.
 
-A request's path: `_arrived` puts it in the waiting line, `_pump` lets it out while there is room (room.py),
-`_try_send` picks its server (`_pick`: the ordinary path), `_ended` books each outcome and may try again.
+Path of a request: `_request_arrived` queues it, `_send_waiting` and `_send` send it to a server that `_pick`
+chooses, and `_attempt_ended` records the outcome and may retry it.
 """
 
 from __future__ import annotations
@@ -25,69 +25,68 @@
 from umberworks.servers import EVIDENCE_DECAY_MS, Fleet, Server, ServerPicker
 from umberworks.slow_start import SlowStart
 
-FEW = 16  # of up to so many servers a pick walks over all, which takes as long as trials
-WALK = 512  # servers that are looked at where a walk over all would hold up every request
-LEAST_KEPT = 16  # servers that a balancer keeps to at the least: of fewer, a few failing ones weigh too much
-CALLS_EACH = 4.0  # calls in memory for each server kept to beyond these; with fewer our view is a sliver
-WAITING_SPARE = 64  # entries beyond the open requests from which the waiting line is rid of the answered ones
-WAIT_SHARE = 0.1  # share of its aim that a request may wait for room before it is refused
-AWAY_SHARE = 0.25  # share of its aim that a refused client is told to stay away: room changes, its aim runs
-# Callers that find every connection busy go elsewhere for good, even if nobody is there. One that is refused
-# has its connection back at once. Guards any drain under load; it does harm where callers don't share their
-# connections, as what is kept free is then of no use to the others: a few callers are therefore let be.
-KEPT_FREE, KEPT_FOR = 2, 3  # at most so many connections kept free in a drain, one for each so many requests
-RETRY_SHARE = 0.2  # further attempts allowed for each first one, so that a failing fleet is not flooded
-RETRY_BURST = 10.0  # further attempts that may be saved up
-PATIENCE = 6.0  # mean times in service after which an answer is so late that a second copy is sent
+MAX_FULL_PICK = 16  # up to so many servers, a pick computes all capacities, which is as fast as sampling
+MAX_WALK = 512  # servers looked at, at most, in a walk that would otherwise delay every request
+MIN_SUBSET = 16  # the smallest subset: in a smaller one, a few failing servers carry too much weight
+CALLS_EACH = 4.0  # decayed calls for each server of a larger subset; with fewer, estimates are poor
+MAX_STALE_ENTRIES = 64  # answered requests in the wait queue from which it is rebuilt without them
+WAIT_SHARE = 0.1  # share of its aim that a request may wait to be sent before it is refused
+RETRY_AFTER_SHARE = 0.25  # Retry-After as a share of the aim: load changes, and the aim of the client runs on
+# In a drain, callers that find all connections busy leave for good, even if there is nowhere to go; refusing
+# early frees connections at once. It harms callers that don't share connections, so a few callers are exempt.
+MAX_KEPT_FREE, REQUESTS_PER_FREE = 2, 3  # connections kept free, at most and for each so many requests
+RETRY_SHARE = 0.2  # retries allowed for each first attempt, so that a failing fleet is not flooded
+RETRY_BURST = 10.0  # the most retries that can be saved up
+DUPLICATE_AFTER = 6.0  # mean times in service after which a duplicate is sent of an unanswered call
 
 
 class Balancer:
-    """The decisions of one balancer instance: feed it events in order, carry out the actions it returns."""
+    """A balancer instance: takes events in order and returns the actions to carry out."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         self._settings = settings
         self._classes = {c.name: c for c in settings.classes}
         self._random, self._fleet = random.Random(seed), Fleet()
         self._servers: dict[str, Server] = {}
-        self._detached: set[str] = set()  # by operators; whatever the list says
-        self._back: list[Server] = []  # put back by hand, and nothing served since
-        self._leaving: dict[str, Server] = {}  # not ready any more, with calls out
+        self._detached: set[str] = set()  # by operators, whatever the list says
+        self._reattached: list[Server] = []  # attached again, and no call served since
+        self._removed: dict[str, Server] = {}  # not eligible any more; kept while calls are in flight
         self._requests: dict[int, Request] = {}
-        self._waiting: list[tuple[bool, float, int]] = []
+        self._wait_queue: list[tuple[bool, float, int]] = []
         self._retries, self._now = RETRY_BURST, 0.0
-        self._room = AdmissionControl(settings.balancers)
-        self._crowd = ConcurrencyLimits(settings.balancers, settings.calling_tier)
-        self._rest, self._heritage, self._kinds = Recovery(), Handover(), KindSpeeds(settings.sizes_exact)
-        self._call_tracker = CallTracker(self._room, self._fleet, self._crowd)
+        self._load = AdmissionControl(settings.balancers)
+        self._limits = ConcurrencyLimits(settings.balancers, settings.calling_tier)
+        self._recovery, self._handover, self._kinds = Recovery(), Handover(), KindSpeeds(settings.sizes_exact)
+        self._call_tracker = CallTracker(self._load, self._fleet, self._limits)
         self._retry_detectors = {c.name: RetryDetector() for c in settings.classes}
         self._median, self._median_at, self._slow_start = 0.0, -math.inf, SlowStart(settings, self._random)
-        self._shares = TenantQuotas(settings.tenants, settings.balancers)
-        self._asking = ListBackoff(settings, self._random)
-        self._asked, self._counted, self._sparse = False, False, False
+        self._quotas = TenantQuotas(settings.tenants, settings.balancers)
+        self._backoff = ListBackoff(settings, self._random)
+        self._started, self._counts_usable, self._sparse = False, False, False
         self._refusing_until = -math.inf
         self._actions: list[interface.Action] = []
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
-        """Take one event at time `now` and return what to do, in order."""
+        """Handle one event at time `now` and return the actions to carry out, in order."""
         self._actions = []
-        if self._settings.pulls_list and (isinstance(event, interface.DiscoveryMoved) or not self._asked):
-            self._asked = True
-            wait = self._asking.initial_delay()
+        if self._settings.pulls_list and (isinstance(event, interface.DiscoveryMoved) or not self._started):
+            self._started = True
+            wait = self._backoff.initial_delay()
             self._actions.append(interface.SetTimer(now + wait, "list") if wait else interface.Subscribe())
         self._call_tracker.release(now)
-        self._room.catch_up(now)
+        self._load.catch_up(now)
         self._now = max(self._now, now)
         match event:
             case interface.AttemptEnded():
-                self._ended(event, now)
+                self._attempt_ended(event, now)
             case interface.RequestArrived():
-                self._arrived(event, now)
+                self._request_arrived(event, now)
             case interface.TimerDue():
-                self._due(event.token, now)
+                self._timer_due(event.token, now)
             case interface.ListUpdate():
-                self._listed(event, now)
+                self._list_updated(event, now)
             case interface.ClientDisconnected():
-                self._left(event.request)
+                self._client_disconnected(event.request)
             case interface.Detached():
                 self._detached.add(event.server)
                 if (server := self._servers.get(event.server)) is not None:
@@ -95,28 +94,28 @@
             case interface.Attached():
                 self._attached(event, now)
             case interface.ResponseStarted():
-                self._answer_started(event, now)
+                self._response_started(event, now)
             case interface.BodyEnded():
                 self._body_ended(event, now)
             case interface.LearnedState():
-                self._heritage.load(event, self._room)
-                self._draw_anew(self._heritage.apply)
+                self._handover.load(event, self._load)
+                self._change_ready(self._handover.apply)
             case interface.BodyDiscarded():
                 if (request := self._requests.get(event.request)) is not None:
-                    request.body_discarded = True
-        self._pump(now)
+                    request.one_shot = True
+        self._send_waiting(now)
         return self._actions
 
-    def _listed(self, event: interface.ListUpdate, now: float) -> None:
+    def _list_updated(self, event: interface.ListUpdate, now: float) -> None:
         if event.kind is ListKind.FAILED:
-            if not self._asking.failures:
+            if not self._backoff.failures:
                 self._actions.append(interface.Log("server list out of reach; keeping the last one"))
             self._actions.append(
-                interface.SetTimer(now + self._asking.retry_delay(event.since_contact_ms), "list")
+                interface.SetTimer(now + self._backoff.retry_delay(event.since_contact_ms), "list")
             )
             return
-        if self._asking.failures and event.kind is not ListKind.SAVED:
-            self._asking.failures = 0
+        if self._backoff.failures and event.kind is not ListKind.SAVED:
+            self._backoff.failures = 0
             self._actions.append(interface.Log("server list is back"))
         if event.kind is not ListKind.CHANGES:
             named = {m.server for m in event.members}
@@ -128,26 +127,26 @@
             if server is None:
                 server = Server(member, now, self._random.random(), self._slow_start.warmth)
                 self._servers[member.server] = server
-                self._heritage.apply(server)
+                self._handover.apply(server)
             size = self._kinds.estimated_size(member)
             if member.up_since_ms > server.member.up_since_ms or size != server.size:
-                self._set_eligible(server, False)  # what it is drawn by changes
+                self._set_eligible(server, False)  # what it is sampled by changes
             if member.up_since_ms > server.member.up_since_ms:
-                server.reset_evidence(now)  # the same name, a new process
+                server.reset_evidence(now)  # a new process of the same name
             server.member, server.size = member, size
             server.listed_ready = member.readiness is interface.Readiness.READY
             self._set_eligible(server, server.listed_ready and member.server not in self._detached)
             self._slow_start.note_start(member.up_since_ms)
-        for name, server in list(self._leaving.items()):
+        for name, server in list(self._removed.items()):
             if server.listed_ready or not server.in_flight:
-                del self._leaving[name]
+                del self._removed[name]
                 if not server.listed_ready:
                     del self._servers[name]
-        self._choose()
+        self._resize_subset()
         self._median_at = -math.inf
 
     def _attached(self, event: interface.Attached, now: float) -> None:
-        """Take a server back as one that has just started: until the list tells, nobody knows better."""
+        """Treat the server as just started until the list says when it did."""
         server = self._servers.get(event.server)
         was_out = event.server in self._detached
         self._detached.discard(event.server)
@@ -157,14 +156,14 @@
             self._set_eligible(server, False)
             server.reset_evidence(now)
             self._set_eligible(server, server.listed_ready)
-            self._back.append(server)
+            self._reattached.append(server)
 
     def learned(self, now: float) -> interface.LearnedState:
-        """What a version that takes over from this one should know."""
-        return export_state(self._room, self._fleet.ready, now)
+        """The state to hand over to the version that takes over from this one."""
+        return export_state(self._load, self._fleet.ready, now)
 
-    def _draw_anew(self, change: Callable[[Server], None]) -> None:
-        """Change what the ready servers are drawn by."""
+    def _change_ready(self, change: Callable[[Server], None]) -> None:
+        """Apply a change of what the ready servers are sampled by."""
         for server in list(self._fleet.ready):
             self._set_eligible(server, False)
             change(server)
@@ -176,50 +175,48 @@
         elif server.eligible and not eligible:
             self._fleet.remove(server, self._median or 1.0, self._now)
         if not eligible:
-            self._leaving[server.member.server] = server
+            self._removed[server.member.server] = server
 
-    def _choose(self) -> None:
-        """Size the subset by the calls in memory: with fewer calls each, servers can't be estimated."""
+    def _resize_subset(self) -> None:
+        """Size the subset by the decayed calls; a prefix in rank order is a random sample of the servers."""
         calls = self._fleet.decayed_calls(self._now)
-        self._fleet.resize_subset(max(LEAST_KEPT, round(calls / CALLS_EACH)), self._median or 1.0, self._now)
+        self._fleet.resize_subset(max(MIN_SUBSET, round(calls / CALLS_EACH)), self._median or 1.0, self._now)
         ready = len(self._fleet.ready)
-        self._counted = ready >= self._settings.balancers  # else a count of calls out is chance
+        self._counts_usable = ready >= self._settings.balancers  # else counts of calls in flight are random
         self._sparse = self._settings.sizes_exact and calls < CALLS_EACH * ready
-        self._slow_start.update(self._fleet.ready[: min(self._fleet.subset_size, WALK)], self._now)
+        self._slow_start.update(self._fleet.ready[: min(self._fleet.subset_size, MAX_WALK)], self._now)
 
-    # ---- a request's path -----------------------------------------------------------------------
-
-    def _arrived(self, event: interface.RequestArrived, now: float) -> None:
+    def _request_arrived(self, event: interface.RequestArrived, now: float) -> None:
         if event.request in self._requests:
             raise ValueError(f"request {event.request} has arrived before")
         if event.class_name not in self._classes:
             raise ValueError(f"request {event.request} is of unknown class {event.class_name!r}")
         request = Request(event, self._classes[event.class_name], now)
-        request.over_share = self._shares.exceeds_quota(event.tenant, now)
+        request.over_share = self._quotas.exceeds_quota(event.tenant, now)
         if self._settings.calling_tier == 0:
             self._retry_detectors[request.cls.name].observe(request, event.remaining_ms)
         self._requests[request.id] = request
         self._retries = min(RETRY_BURST, self._retries + RETRY_SHARE)
-        if event.free_connections < min(KEPT_FREE, len(self._requests) // KEPT_FOR):
-            self._give_up(request)
+        if event.free_connections < min(MAX_KEPT_FREE, len(self._requests) // REQUESTS_PER_FREE):
+            self._refuse_or_fail(request)
             return
-        if self._crowded(request):
-            self._refuse_for_room(request, now)
+        if self._is_overloaded(request):
+            self._refuse_overload(request, now)
             return
-        if len(self._waiting) > len(self._requests) + WAITING_SPARE:
-            # While room is short the newest go first, and below them what was refused would stay for good.
-            self._waiting = [entry for entry in self._waiting if entry[2] in self._requests]
-            heapify(self._waiting)
-        heappush(self._waiting, (request.over_share, -now, request.id))
-        self._pump(now)
+        if len(self._wait_queue) > len(self._requests) + MAX_STALE_ENTRIES:
+            # Under overload the newest go first, and refused requests at the end would never be popped.
+            self._wait_queue = [entry for entry in self._wait_queue if entry[2] in self._requests]
+            heapify(self._wait_queue)
+        heappush(self._wait_queue, (request.over_share, -now, request.id))
+        self._send_waiting(now)
         if not request.attempts:
             wait = min(WAIT_SHARE * request.cls.aim_ms, request.useful_until() - now - self._settings.tick_ms)
             if wait > 0:
                 self._actions.append(interface.SetTimer(now + wait, f"wait:{request.id}"))
             else:
-                self._give_up(request)
+                self._refuse_or_fail(request)
 
-    def _due(self, token: str, now: float) -> None:
+    def _timer_due(self, token: str, now: float) -> None:
         kind, _, number = token.partition(":")
         request = self._requests.get(int(number or -1))
         if kind == "list":
@@ -227,42 +224,42 @@
         elif request is None or not request.unanswered:
             return
         elif kind == "copy":
-            self._copy(request, now)
+            self._send_duplicate(request, now)
         elif not request.attempts:
-            self._refuse_for_room(request, now)
+            self._refuse_overload(request, now)
 
-    def _refuse_for_room(self, request: Request, now: float) -> None:
+    def _refuse_overload(self, request: Request, now: float) -> None:
         if now > self._refusing_until:
-            self._actions.append(interface.Log(f"no room: refusing; {self._room.in_flight} calls out"))
+            self._actions.append(interface.Log(f"no room: refusing; {self._load.in_flight} calls out"))
         self._refusing_until = now + EVIDENCE_DECAY_MS
-        self._give_up(request)
+        self._refuse_or_fail(request)
 
-    def _copy(self, request: Request, now: float) -> None:
-        """Send a copy of what is overdue at a server that has served nothing since: it may hang."""
+    def _send_duplicate(self, request: Request, now: float) -> None:
+        """Duplicate an overdue request if its servers have served nothing since then: they may hang."""
         hangs = request.is_out() and all(a.server.last_served_at <= a.sent for a in request.attempts if a.out)
-        if hangs and self._has_room():
-            self._try_again(request, now, RETRY_BURST / 2)
-
-    def _pump(self, now: float) -> None:
-        """Let waiting requests out while there is room: within their share first, the newest first."""
-        while self._waiting and self._has_room():
-            request = self._requests.get(self._waiting[0][2])
-            if request is not None and request.unanswered and not self._try_send(request, now):
+        if hangs and self._below_limit():
+            self._retry(request, now, RETRY_BURST / 2)
+
+    def _send_waiting(self, now: float) -> None:
+        """Send waiting requests while the limit allows: first those within their quota, the newest first."""
+        while self._wait_queue and self._below_limit():
+            request = self._requests.get(self._wait_queue[0][2])
+            if request is not None and request.unanswered and not self._send(request, now):
                 return
-            heappop(self._waiting)
+            heappop(self._wait_queue)
 
-    def _crowded(self, request: Request) -> bool:
-        """Whether to refuse by the mean time in service; calls still out are in it: a stall shows at once."""
-        if self._counted or self._settings.calling_tier > 0:
+    def _is_overloaded(self, request: Request) -> bool:
+        """Whether to refuse by the mean time in service; calls in flight count, so that stalls show at once."""
+        if self._counts_usable or self._settings.calling_tier > 0:
             return False
-        return self._random.random() >= self._room.admit_probability(request.cls.aim_ms, request.over_share)
+        return self._random.random() >= self._load.admit_probability(request.cls.aim_ms, request.over_share)
 
-    def _has_room(self) -> bool:
-        if not self._counted or self._settings.calling_tier > 0:
-            return True  # inner tiers let all in: a refusal there wastes what the tiers above have done
-        return self._room.in_flight < self._room.limit(len(self._fleet.ready))
+    def _below_limit(self) -> bool:
+        if not self._counts_usable or self._settings.calling_tier > 0:
+            return True  # inner tiers admit everything: a refusal there wastes the work of the tiers above
+        return self._load.in_flight < self._load.limit(len(self._fleet.ready))
 
-    def _try_send(self, request: Request, now: float) -> bool:
+    def _send(self, request: Request, now: float) -> bool:
         timeout = request.timeout(now)
         most = min(self._settings.max_attempts, request.cls.attempts or math.inf)
         if timeout <= self._settings.tick_ms or len(request.attempts) >= most:
@@ -273,43 +270,43 @@
         server.last_sent = now
         attempt = Attempt(server, now, timeout)
         request.attempts.append(attempt)
-        if not request.body_incomplete:  # else its server has nothing to do yet
+        if not request.body_incomplete:  # a server does no work until it has the whole body
             self._call_tracker.out(attempt, now)
         self._actions.append(interface.Send(request.id, server.member.server, timeout))
-        if self._room.mean_service_time and self._settings.may_duplicate and request.can_be_duplicated():
-            patience = PATIENCE * self._room.mean_service_time * request.cls.aim_ms
-            self._actions.append(interface.SetTimer(now + patience, f"copy:{request.id}"))
+        if self._load.mean_service_time and self._settings.may_duplicate and request.can_be_duplicated():
+            delay = DUPLICATE_AFTER * self._load.mean_service_time * request.cls.aim_ms
+            self._actions.append(interface.SetTimer(now + delay, f"copy:{request.id}"))
         return True
 
-    def _made(self, event: interface.AttemptEnded | interface.ResponseStarted) -> tuple[Request, Attempt]:
+    def _lookup(self, event: interface.AttemptEnded | interface.ResponseStarted) -> tuple[Request, Attempt]:
         request = self._requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             raise ValueError(f"attempt {event.attempt} of request {event.request} was never made")
         return request, request.attempts[event.attempt]
 
-    def _ended(self, event: interface.AttemptEnded, now: float) -> None:
-        request, attempt = self._made(event)
+    def _attempt_ended(self, event: interface.AttemptEnded, now: float) -> None:
+        request, attempt = self._lookup(event)
         if not attempt.out:
             return
         attempt.out, attempt.ran = False, event.outcome not in interface.NEVER_RAN
         self._call_tracker.ended(attempt, event.outcome, request.cls, self._median or 1.0, now)
         if event.answered:
             request.unanswered = False
-            self._cancel_rest(request)
-        elif request.unanswered and not request.is_out() and not self._try_again(request, now):
-            self._give_up(request)
-        self._drop_if_over(request)
-
-    def _answer_started(self, event: interface.ResponseStarted, now: float) -> None:
-        """Its server has done its work, unless the class is a stream; other answers are of no use."""
-        request, attempt = self._made(event)
-        self._cancel_rest(request, attempt)
+            self._cancel_others(request)
+        elif request.unanswered and not request.is_out() and not self._retry(request, now):
+            self._refuse_or_fail(request)
+        self._drop_if_done(request)
+
+    def _response_started(self, event: interface.ResponseStarted, now: float) -> None:
+        """Cancel the other attempts; the server's work is done, unless the class is streamed."""
+        request, attempt = self._lookup(event)
+        self._cancel_others(request, attempt)
         request.streaming, request.unanswered = True, False
         if not request.cls.streamed:
             self._call_tracker.ended(attempt, Outcome.SERVED, request.cls, self._median or 1.0, now)
 
     def _body_ended(self, event: interface.BodyEnded, now: float) -> None:
-        """The request is whole: its time runs, and its server has work."""
+        """The server now has the whole request: the attempt counts as in flight and gets its timeout."""
         request = self._requests.get(event.request)
         if request is None or not request.body_incomplete:
             return
@@ -321,42 +318,37 @@
                 self._call_tracker.out(attempt, now)
                 self._actions.append(interface.SetAttemptTimeout(request.id, i, timeout))
 
-    def _try_again(self, request: Request, now: float, keep: float = 0.0) -> bool:
-        """Make a further attempt out of the savings, of which `keep` stay for others."""
-        if (
-            self._retries < keep + 1
-            or request.streaming
-            or request.body_discarded
-            or not self._try_send(request, now)
-        ):
+    def _retry(self, request: Request, now: float, keep: float = 0.0) -> bool:
+        """Make another attempt if the retry budget allows it, with `keep` retries left over for others."""
+        if self._retries < keep + 1 or request.streaming or request.one_shot or not self._send(request, now):
             return False
         self._retries -= 1
         return True
 
-    def _give_up(self, request: Request) -> None:
+    def _refuse_or_fail(self, request: Request) -> None:
         request.unanswered = False
         harmless = request.cls.effect is Effect.REPEATABLE or not any(a.ran for a in request.attempts)
-        away = min(AWAY_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
+        away = min(RETRY_AFTER_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
         self._actions.append(interface.Refuse(request.id, away) if harmless else interface.Fail(request.id))
-        self._drop_if_over(request)
+        self._drop_if_done(request)
 
-    def _cancel_rest(self, request: Request, but: Attempt | None = None) -> None:
+    def _cancel_others(self, request: Request, but: Attempt | None = None) -> None:
         if self._settings.may_cancel and not request.streaming:
             out = (i for i, a in enumerate(request.attempts) if a.out and a is not but)
             self._actions.extend(interface.Cancel(request.id, i) for i in out)
 
-    def _left(self, request_id: int) -> None:
+    def _client_disconnected(self, request_id: int) -> None:
         if (request := self._requests.get(request_id)) is not None:
             request.unanswered = False
-            self._cancel_rest(request)
-            self._drop_if_over(request)
+            self._cancel_others(request)
+            self._drop_if_done(request)
 
-    def _drop_if_over(self, request: Request) -> None:
+    def _drop_if_done(self, request: Request) -> None:
         if not request.unanswered and not request.is_out():
             self._requests.pop(request.id, None)
 
-    def _able(self, request: Request, now: float) -> tuple[int, Callable[[Server], bool] | None]:
-        """Of how many ready servers, by rank, the next attempt may have one, and what it must be besides."""
+    def _candidates(self, request: Request, now: float) -> tuple[int, Callable[[Server], bool] | None]:
+        """How many servers, by rank, the next attempt may choose from, and what condition it must meet."""
         cls, fleet = request.cls, self._fleet
         ran = next((a for a in request.attempts if a.ran), None)
         if request.is_out() and not self._settings.may_duplicate:
@@ -368,7 +360,7 @@
         sent, first, group = ran.sent, ran.server.member, cls.dedup_scope
 
         def drops_repeats(server: Server) -> bool:
-            # A server that restarted since may have forgotten what it saw: not asked again.
+            # A server that restarted since the first attempt may have lost its record of it.
             member = server.member
             if max(member.up_since_ms, server.reattached_at) > sent:
                 return False
@@ -378,24 +370,23 @@
 
         return len(fleet.ready), drops_repeats
 
-    # ---- the ordinary path ----------------------------------------------------------------------
-
     def _pick(self, request: Request, now: float) -> Server | None:
-        """Draw servers by capacity and take the one least loaded after this call."""
-        median = self._known_median(now)
-        count, harmless = self._able(request, now)
+        """Sample servers by capacity and take the one with the lowest load after this call."""
+        median = self._refresh_median(now)
+        count, harmless = self._candidates(request, now)
         cold, tried = now < self._slow_start.cold_until, [a.server for a in request.attempts]
         pick = ServerPicker(self._random, now, median, cold, self._sparse)
-        crowded = self._counted and self._crowd.enabled and harmless is None  # a repeat has few places to go
+        # Concurrency limits don't apply to a repeat of a keyed request, as few servers may get it.
+        limited = self._counts_usable and self._limits.enabled and harmless is None
 
         test: Callable[[Server], bool] | None = None
-        if cold or crowded or harmless is not None:
+        if cold or limited or harmless is not None:
 
             def test(server: Server) -> bool:
                 return (
                     (harmless is None or harmless(server))
                     and (not cold or self._slow_start.admits(server, now))
-                    and (not crowded or (self._crowd.admits(server, now) and server.rests_until <= now))
+                    and (not limited or (self._limits.admits(server, now) and server.rests_until <= now))
                 )
 
         fresh = test
@@ -404,49 +395,49 @@
             def fresh(server: Server) -> bool:
                 return server not in tried and (test is None or test(server))
 
-        if self._back and not tried and (back := self._put_back(now)) is not None:
+        if self._reattached and not tried and (back := self._due_reattached(now)) is not None:
             return back
-        if harmless is None and count > FEW and len(self._fleet.ready) > FEW:
+        if harmless is None and count > MAX_FULL_PICK and len(self._fleet.ready) > MAX_FULL_PICK:
             found = pick.pick_sampled(self._fleet.in_subset, fresh)
             if found is not None:
                 return found
-        few = self._look(count, fresh, request) if tried else []
-        return pick.pick_from(few or self._look(count, test, request))
+        few = self._walk(count, fresh, request) if tried else []
+        return pick.pick_from(few or self._walk(count, test, request))
 
-    def _put_back(self, now: float) -> Server | None:
-        """A server that was put back by hand and has served nothing since: it gets a call a window at most.
+    def _due_reattached(self, now: float) -> Server | None:
+        """A server that was attached again and has served no call since, if its next call is due.
 
-        A cold one wins no comparison while others are idle, and nobody would learn that it is well again.
+        Being cold, it would not be picked while others are idle, and nobody would see that it works again.
+        It gets at most one call in a window, within the cold budget, as many balancers may be told at once.
         """
-        self._back = [
+        self._reattached = [
             s
-            for s in self._back
+            for s in self._reattached
             if s.last_served_at <= s.reattached_at and s.member.server not in self._detached
         ]
         window = self._settings.cold_window_ms
-        due = (s for s in self._back if s.eligible and now - s.last_sent >= window)
-        # Many balancers may be told at one moment: the budget of all holds here too.
+        due = (s for s in self._reattached if s.eligible and now - s.last_sent >= window)
         return next((s for s in due if self._slow_start.admits(s, now)), None)
 
-    def _look(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
-        """The first ready servers that pass a test, of so many that a walk over them is short."""
+    def _walk(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
+        """The acceptable servers among the first `count` by rank, or among `MAX_WALK` of these."""
         walked = self._fleet.ready[:count]
-        if len(walked) > WALK and request.cls.dedup_scope is DedupScope.ALL:
+        if len(walked) > MAX_WALK and request.cls.dedup_scope is DedupScope.ALL:
             start = self._random.randrange(len(walked))
-            walked = (walked[start:] + walked[:start])[:WALK]
+            walked = (walked[start:] + walked[:start])[:MAX_WALK]
         return [s for s in walked if test(s)] if test is not None else walked
 
-    def _known_median(self, now: float) -> float:
-        """The median of the known estimates; measures of the whole fleet are taken now and then only."""
+    def _refresh_median(self, now: float) -> float:
+        """The median capacity of the servers; it and other measures of the fleet are updated periodically."""
         if now - self._median_at >= RATE_DECAY_MS / 4:
             self._median_at = now
-            self._choose()
-            some = self._fleet.ready[:WALK]
-            if self._counted and self._crowd.enabled:
-                said = self._rest.update(some, now < self._refusing_until, self._crowd.min_limit, now)
+            self._resize_subset()
+            some = self._fleet.ready[:MAX_WALK]
+            if self._counts_usable and self._limits.enabled:
+                said = self._recovery.update(some, now < self._refusing_until, self._limits.min_limit, now)
                 self._actions += [interface.Log(said)] if said else []
             if self._kinds.update(some, now):
-                self._draw_anew(self._kinds.set_size)
+                self._change_ready(self._kinds.set_size)
             known = sorted(s.served / s.busy_ms / s.size for s in some if s.served > 0.5 and s.busy_ms > 0)
             if known:
                 self._median = known[len(known) // 2]
