--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -249,7 +249,7 @@
             heappop(self._wait_queue)
 
     def _is_overloaded(self, request: Request) -> bool:
-        """Whether to refuse by the mean time in service; calls in flight count, so that stalls show at once."""
+        """Whether to refuse by the mean time in service; calls in flight count, so stalls show at once."""
         if self._counts_usable or self._settings.calling_tier > 0:
             return False
         return self._random.random() >= self._load.admit_probability(request.cls.aim_ms, request.over_share)
