--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -119,9 +119,9 @@
             self._actions.append(interface.Log("server list is back"))
         if event.kind is not ListKind.CHANGES:
             named = {m.server for m in event.members}
-            for known in [s for n, s in self._servers.items() if s.listed_ready and n not in named]:
-                known.listed_ready = False  # missing from a whole list means gone
-                self._set_eligible(known, False)
+            for removed in [s for n, s in self._servers.items() if s.listed_ready and n not in named]:
+                removed.listed_ready = False  # missing from a whole list means gone
+                self._set_eligible(removed, False)
         for member in event.members:
             server = self._servers.get(member.server)
             if server is None:
@@ -148,10 +148,10 @@
     def _attached(self, event: interface.Attached, now: float) -> None:
         """Treat the server as just started until the list says when it did."""
         server = self._servers.get(event.server)
-        was_out = event.server in self._detached
+        was_detached = event.server in self._detached
         self._detached.discard(event.server)
         self._slow_start.note_start(event.at_ms)
-        if server is not None and (was_out or server.reattached_at < event.at_ms):
+        if server is not None and (was_detached or server.reattached_at < event.at_ms):
             server.reattached_at = max(server.reattached_at, event.at_ms)
             self._set_eligible(server, False)
             server.reset_evidence(now)
@@ -261,8 +261,8 @@
 
     def _send(self, request: Request, now: float) -> bool:
         timeout = request.timeout(now)
-        most = min(self._settings.max_attempts, request.cls.attempts or math.inf)
-        if timeout <= self._settings.tick_ms or len(request.attempts) >= most:
+        limit = min(self._settings.max_attempts, request.cls.attempts or math.inf)
+        if timeout <= self._settings.tick_ms or len(request.attempts) >= limit:
             return False
         server = self._pick(request, now)
         if server is None:
@@ -327,14 +327,14 @@
 
     def _refuse_or_fail(self, request: Request) -> None:
         request.unanswered = False
-        harmless = request.cls.effect is Effect.REPEATABLE or not any(a.ran for a in request.attempts)
-        away = min(RETRY_AFTER_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
-        self._actions.append(interface.Refuse(request.id, away) if harmless else interface.Fail(request.id))
+        safe = request.cls.effect is Effect.REPEATABLE or not any(a.ran for a in request.attempts)
+        delay = min(RETRY_AFTER_SHARE * request.cls.aim_ms, self._settings.max_retry_after_ms)
+        self._actions.append(interface.Refuse(request.id, delay) if safe else interface.Fail(request.id))
         self._drop_if_done(request)
 
-    def _cancel_others(self, request: Request, but: Attempt | None = None) -> None:
+    def _cancel_others(self, request: Request, spared: Attempt | None = None) -> None:
         if self._settings.may_cancel and not request.streaming:
-            out = (i for i, a in enumerate(request.attempts) if a.out and a is not but)
+            out = (i for i, a in enumerate(request.attempts) if a.out and a is not spared)
             self._actions.extend(interface.Cancel(request.id, i) for i in out)
 
     def _client_disconnected(self, request_id: int) -> None:
@@ -373,36 +373,36 @@
     def _pick(self, request: Request, now: float) -> Server | None:
         """Sample servers by capacity and take the one with the lowest load after this call."""
         median = self._refresh_median(now)
-        count, harmless = self._candidates(request, now)
+        count, drops_repeats = self._candidates(request, now)
         cold, tried = now < self._slow_start.cold_until, [a.server for a in request.attempts]
         pick = ServerPicker(self._random, now, median, cold, self._sparse)
         # Concurrency limits don't apply to a repeat of a keyed request, as few servers may get it.
-        limited = self._counts_usable and self._limits.enabled and harmless is None
+        limited = self._counts_usable and self._limits.enabled and drops_repeats is None
 
-        test: Callable[[Server], bool] | None = None
-        if cold or limited or harmless is not None:
+        accepts: Callable[[Server], bool] | None = None
+        if cold or limited or drops_repeats is not None:
 
-            def test(server: Server) -> bool:
+            def accepts(server: Server) -> bool:
                 return (
-                    (harmless is None or harmless(server))
+                    (drops_repeats is None or drops_repeats(server))
                     and (not cold or self._slow_start.admits(server, now))
                     and (not limited or (self._limits.admits(server, now) and server.rests_until <= now))
                 )
 
-        fresh = test
+        accepts_new = accepts
         if tried:
 
-            def fresh(server: Server) -> bool:
-                return server not in tried and (test is None or test(server))
+            def accepts_new(server: Server) -> bool:
+                return server not in tried and (accepts is None or accepts(server))
 
-        if self._reattached and not tried and (back := self._due_reattached(now)) is not None:
-            return back
-        if harmless is None and count > MAX_FULL_PICK and len(self._fleet.ready) > MAX_FULL_PICK:
-            found = pick.pick_sampled(self._fleet.in_subset, fresh)
+        if self._reattached and not tried and (due := self._due_reattached(now)) is not None:
+            return due
+        if drops_repeats is None and count > MAX_FULL_PICK and len(self._fleet.ready) > MAX_FULL_PICK:
+            found = pick.pick_sampled(self._fleet.in_subset, accepts_new)
             if found is not None:
                 return found
-        few = self._walk(count, fresh, request) if tried else []
-        return pick.pick_from(few or self._walk(count, test, request))
+        untried = self._walk(count, accepts_new, request) if tried else []
+        return pick.pick_from(untried or self._walk(count, accepts, request))
 
     def _due_reattached(self, now: float) -> Server | None:
         """A server that was attached again and has served no call since, if its next call is due.
@@ -419,27 +419,27 @@
         due = (s for s in self._reattached if s.eligible and now - s.last_sent >= window)
         return next((s for s in due if self._slow_start.admits(s, now)), None)
 
-    def _walk(self, count: int, test: Callable[[Server], bool] | None, request: Request) -> list[Server]:
+    def _walk(self, count: int, accepts: Callable[[Server], bool] | None, request: Request) -> list[Server]:
         """The acceptable servers among the first `count` by rank, or among `MAX_WALK` of these."""
         walked = self._fleet.ready[:count]
         if len(walked) > MAX_WALK and request.cls.dedup_scope is DedupScope.ALL:
             start = self._random.randrange(len(walked))
             walked = (walked[start:] + walked[:start])[:MAX_WALK]
-        return [s for s in walked if test(s)] if test is not None else walked
+        return [s for s in walked if accepts(s)] if accepts is not None else walked
 
     def _refresh_median(self, now: float) -> float:
         """The median capacity of the servers; it and other measures of the fleet are updated periodically."""
         if now - self._median_at >= RATE_DECAY_MS / 4:
             self._median_at = now
             self._resize_subset()
-            some = self._fleet.ready[:MAX_WALK]
+            sample = self._fleet.ready[:MAX_WALK]
             if self._counts_usable and self._limits.enabled:
-                said = self._recovery.update(some, now < self._refusing_until, self._limits.min_limit, now)
-                self._actions += [interface.Log(said)] if said else []
-            if self._kinds.update(some, now):
+                text = self._recovery.update(sample, now < self._refusing_until, self._limits.min_limit, now)
+                self._actions += [interface.Log(text)] if text else []
+            if self._kinds.update(sample, now):
                 self._change_ready(self._kinds.set_size)
-            known = sorted(s.served / s.busy_ms / s.size for s in some if s.served > 0.5 and s.busy_ms > 0)
-            if known:
-                self._median = known[len(known) // 2]
+            rates = sorted(s.served / s.busy_ms / s.size for s in sample if s.served > 0.5 and s.busy_ms > 0)
+            if rates:
+                self._median = rates[len(rates) // 2]
                 self._fleet.median_changed(self._median)
         return self._median or 1.0
