--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 import pytest
 
 from umberworks.interface import Cancel, Fail, Log, Refuse, Send, SetTimer, Subscribe
-from umberworks.simhost import Host
+from umberworks.simhost import SimulatorHost
 from umberworks.wire import read_fields, read_settings, write_action
 
 FACTS = (
@@ -33,7 +33,7 @@
 
 def host(text: str) -> tuple[int, str, str]:
     out, err = io.StringIO(), io.StringIO()
-    status = Host(err).run(io.StringIO(text), out)
+    status = SimulatorHost(err).run(io.StringIO(text), out)
     return status, out.getvalue(), err.getvalue()
 
 
@@ -83,13 +83,13 @@
     ("bad", "reason"),
     [
         ("knock who=1 corr=9 grade=read", "'remaining' is missing"),
-        ("knock who=1 corr=x remaining=9 grade=read", "no whole number"),
-        ("knock who=1 corr=9 remaining=soon grade=read", "no number"),
+        ("knock who=1 corr=x remaining=9 grade=read", "not a whole number"),
+        ("knock who=1 corr=9 remaining=soon grade=read", "not a number"),
         ("knock who=5 corr=9 remaining=9.0 grade=read", "instance '5' is unknown"),
         ("membership who=1 generation=2 mode=2 list=9", "ledger 9 was never sent"),
-        ("knock who=1 corr=9 remaining=nan grade=read", "no finite number"),
+        ("knock who=1 corr=9 remaining=nan grade=read", "not a finite number"),
         ("ledger list=1 membersList=2\nm upstream=u1 readiness=1", "cut short"),
-        ("ledger list=1 membersList=1\nm upstream=u1 readiness=1 nominal=0", "no size above 0"),
+        ("ledger list=1 membersList=1\nm upstream=u1 readiness=1 nominal=0", "not a size above 0"),
         ("ledger list=1 membersList=1\nm upstream=u1 readiness=9", "'readiness' holds '9'"),
         ("knock who=1 corr", "not name=value"),
         (up(2).strip().replace("classes.0.target=900.0", "classes.0.target=-1"), "aim_ms"),
@@ -175,5 +175,5 @@
 def test_advice_to_stay_away_is_written_and_read_only_where_allowed() -> None:
     assert write_action("4", Refuse(7, 300.0)) == "reject who=4 corr=7 stayAway=300.000"
     for allowed, wanted in (("true", 1_500.0), ("false", 0.0)):
-        facts = read_fields([*FACTS.split(), f"limits.retryAfter={allowed}", "limits.maxRetryAfter=1500.0"])
-        assert read_settings(facts, lambda note: None).max_retry_after_ms == wanted
+        values = read_fields([*FACTS.split(), f"limits.retryAfter={allowed}", "limits.maxRetryAfter=1500.0"])
+        assert read_settings(values, lambda text: None).max_retry_after_ms == wanted
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -1,4 +1,4 @@
-"""The codec between the simulator's lines and the types of `umberworks.interface`; it decides nothing."""
+"""Translates between the lines of the simulator's protocol and the types of `umberworks.interface`."""
 
 from __future__ import annotations
 
@@ -52,9 +52,9 @@
 _READINESS = {"0": Readiness.GONE, "1": Readiness.READY, "2": Readiness.DRAINING}
 _LIST_KINDS = {"0": ListKind.SAVED, "2": ListKind.WHOLE, "3": ListKind.CHANGES, "4": ListKind.FAILED}
 _EFFECTS = {"retryable": Effect.REPEATABLE, "dedup": Effect.KEYED, "fragile": Effect.ONCE}
-_GROUPS = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
+_DEDUP_SCOPES = {"all": DedupScope.ALL, "zone": DedupScope.ZONE, "cell": DedupScope.CELL}
 
-_KNOWN_FACTS = frozenset(
+_KNOWN_SETTINGS = frozenset(
     """
     azs balancers classes.count classes.aimStretch classes.target classes.deadline classes.effect
     classes.keyScope classes.lateShare classes.name classes.stream classes.repeatWindow
@@ -74,32 +74,32 @@
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow, with a plain reason."""
+    """A line that breaks the simulator's protocol; its text says how."""
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
-    """An instance comes up."""
+class InstanceStarted:
+    """A balancer instance starts, with these settings and this seed for its random numbers."""
 
     seed: int
     settings: Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    """An instance has been killed."""
+class InstanceKilled:
+    """A balancer instance was killed."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListNews:
-    """A list event that names its entries by the number of a ledger."""
+class ListReference:
+    """A list event that refers to its entries by the number of a ledger; None if the call failed."""
 
     kind: ListKind
     ledger: int | None
 
 
 def read_fields(parts: list[str]) -> Fields:
-    """The name=value parts of a line as a dictionary."""
+    """Parse the name=value parts of a line into a dictionary."""
     try:
         return dict([part.split("=", 1) for part in parts])
     except ValueError:
@@ -107,8 +107,8 @@
         raise WireError(f"{bad!r} is not name=value") from None
 
 
-def need(fields: Fields, name: str) -> str:
-    """A field that must be there."""
+def required(fields: Fields, name: str) -> str:
+    """The value of a mandatory field."""
     try:
         return fields[name]
     except KeyError:
@@ -116,58 +116,58 @@
 
 
 def number(fields: Fields, name: str, default: float | None = None) -> float:
-    """A field that holds a number."""
-    text = need(fields, name) if default is None else fields.get(name)
+    """The finite number in a field, or `default` if the field is missing and there is a default."""
+    text = required(fields, name) if default is None else fields.get(name)
     if text is None:
         assert default is not None
         return default
     try:
         value = float(text)
     except ValueError:
-        raise WireError(f"field {name!r} holds {text!r}, which is no number") from None
-    if not math.isfinite(value):  # it would pass every comparison and spoil estimates for good
-        raise WireError(f"field {name!r} holds {text!r}, which is no finite number")
+        raise WireError(f"field {name!r} holds {text!r}, which is not a number") from None
+    if not math.isfinite(value):  # NaN would pass range checks, and either would corrupt estimates for good
+        raise WireError(f"field {name!r} holds {text!r}, which is not a finite number")
     return value
 
 
-def whole(fields: Fields, name: str) -> int:
-    """A field that holds a whole number."""
-    text = need(fields, name)
+def integer(fields: Fields, name: str) -> int:
+    """The integer in a mandatory field."""
+    text = required(fields, name)
     try:
         return int(text)
     except ValueError:
-        raise WireError(f"field {name!r} holds {text!r}, which is no whole number") from None
+        raise WireError(f"field {name!r} holds {text!r}, which is not a whole number") from None
 
 
 def _flag(fields: Fields, name: str) -> bool:
     return fields.get(name) in ("1", "true")
 
 
-def _word(table: dict[str, T], fields: Fields, name: str) -> T:
-    text = need(fields, name)
+def _lookup(table: dict[str, T], fields: Fields, name: str) -> T:
+    text = required(fields, name)
     try:
         return table[text]
     except KeyError:
-        raise WireError(f"field {name!r} holds {text!r}, which has no meaning there") from None
+        raise WireError(f"field {name!r} holds {text!r}, which is not one of its values") from None
 
 
-def _outcome(fields: Fields, note: Callable[[str], None]) -> Outcome:
-    code = need(fields, "verdict")
+def _outcome(fields: Fields, warn: Callable[[str], None]) -> Outcome:
+    code = required(fields, "verdict")
     known = _OUTCOMES.get(code)
     if known is None:
-        note(f"outcome code {code!r} is unknown; taken as one that may have run")
+        warn(f"unknown outcome code {code!r}; treating it as an attempt that may have run")
         return Outcome.UNKNOWN
     return known
 
 
 def read_member(fields: Fields) -> Member:
-    """One entry of a ledger."""
+    """Parse one entry of a ledger, the numbered server list of the protocol."""
     size = number(fields, "nominal", 1.0)
     if size <= 0:
-        raise WireError(f"field 'nominal' holds {size}, which is no size above 0")
+        raise WireError(f"field 'nominal' holds {size}, which is not a size above 0")
     return Member(
-        server=need(fields, "upstream"),
-        readiness=_word(_READINESS, fields, "readiness"),
+        server=required(fields, "upstream"),
+        readiness=_lookup(_READINESS, fields, "readiness"),
         zone=fields.get("rackZone", ""),
         cell=int(number(fields, "cell", 0.0)),
         size=size,
@@ -176,127 +176,127 @@
     )
 
 
-def _read_class(facts: Fields, prefix: str) -> RequestClass:
+def _read_class(values: Fields, prefix: str) -> RequestClass:
     return RequestClass(
-        name=need(facts, prefix + "name"),
-        aim_ms=number(facts, prefix + "target"),
-        deadline_ms=number(facts, prefix + "deadline"),
-        effect=_word(_EFFECTS, facts, prefix + "effect"),
-        dedup_scope=_GROUPS.get(facts.get(prefix + "keyScope", "all"), DedupScope.CELL),
-        dedup_window_ms=number(facts, prefix + "repeatWindow", 0.0),
-        worth=number(facts, prefix + "worth", 1.0),
-        late_share=number(facts, prefix + "lateShare", 0.0),
-        streamed=_flag(facts, prefix + "stream"),
+        name=required(values, prefix + "name"),
+        aim_ms=number(values, prefix + "target"),
+        deadline_ms=number(values, prefix + "deadline"),
+        effect=_lookup(_EFFECTS, values, prefix + "effect"),
+        dedup_scope=_DEDUP_SCOPES.get(values.get(prefix + "keyScope", "all"), DedupScope.CELL),
+        dedup_window_ms=number(values, prefix + "repeatWindow", 0.0),
+        worth=number(values, prefix + "worth", 1.0),
+        late_share=number(values, prefix + "lateShare", 0.0),
+        streamed=_flag(values, prefix + "stream"),
     )
 
 
-def read_settings(facts: Fields, note: Callable[[str], None]) -> Settings:
-    """The settings that come with an instance's start.
+def read_settings(values: Fields, warn: Callable[[str], None]) -> Settings:
+    """Parse the settings that an instance is started with; unknown ones are reported to `warn` and ignored.
 
-    What the form always has and no neutral value can stand for is an error if missing: another deployment's figure
-    in its place would be kept to in silence.
+    A setting that is always present and has no neutral default is an error if it is missing: a default that
+    suits another deployment would be applied silently.
     """
-    for name in facts:
-        if _INDEX.sub(".", name) not in _KNOWN_FACTS:
-            note(f"setting {name!r} is unknown and ignored")
-    classes = [_read_class(facts, f"classes.{i}.") for i in range(whole(facts, "classes.count"))]
+    for name in values:
+        if _INDEX.sub(".", name) not in _KNOWN_SETTINGS:
+            warn(f"ignoring the unknown setting {name!r}")
+    classes = [_read_class(values, f"classes.{i}.") for i in range(integer(values, "classes.count"))]
     tenants = [
-        Tenant(need(facts, f"orgs.{i}.name"), number(facts, f"orgs.{i}.quotaPerS"))
-        for i in range(int(number(facts, "orgs.count", 0.0)))
+        Tenant(required(values, f"orgs.{i}.name"), number(values, f"orgs.{i}.quotaPerS"))
+        for i in range(int(number(values, "orgs.count", 0.0)))
     ]
-    asked, cold = facts.get("discovery") == "ask", number(facts, "contract.cold", 0.0)
+    pulled, cold = values.get("discovery") == "ask", number(values, "contract.cold", 0.0)
     return Settings(
         classes=tuple(classes),
         tenants=tuple(tenants),
-        balancers=int(number(facts, "balancers", 1.0)),
-        calling_tier=int(number(facts, "tier", 0.0)),
-        pulls_list=asked,
-        ask_within_ms=number(facts, "contract.askWithin", None if asked else 10_000.0),
-        max_attempts=int(number(facts, "limits.attemptsCap", 1.0)),
-        may_cancel=_flag(facts, "limits.mayCancel"),
-        may_duplicate=_flag(facts, "limits.mayDuplicate"),
+        balancers=int(number(values, "balancers", 1.0)),
+        calling_tier=int(number(values, "tier", 0.0)),
+        pulls_list=pulled,
+        ask_within_ms=number(values, "contract.askWithin", None if pulled else 10_000.0),
+        max_attempts=int(number(values, "limits.attemptsCap", 1.0)),
+        may_cancel=_flag(values, "limits.mayCancel"),
+        may_duplicate=_flag(values, "limits.mayDuplicate"),
         max_retry_after_ms=(
-            number(facts, "limits.maxRetryAfter", 0.0) if _flag(facts, "limits.retryAfter") else 0.0
+            number(values, "limits.maxRetryAfter", 0.0) if _flag(values, "limits.retryAfter") else 0.0
         ),
-        sizes_exact=facts.get("weights") == "nominal",
+        sizes_exact=values.get("weights") == "nominal",
         cold_ms=cold,
-        cold_from=number(facts, "contract.coldFrom", 1.0),
-        cold_overload_factor=number(facts, "contract.overloadFactor", 1.0),
-        cold_window_ms=number(facts, "contract.tipAfter", None if cold else 1_000.0),
-        tick_ms=number(facts, "tick", 1.0),
+        cold_from=number(values, "contract.coldFrom", 1.0),
+        cold_overload_factor=number(values, "contract.overloadFactor", 1.0),
+        cold_window_ms=number(values, "contract.tipAfter", None if cold else 1_000.0),
+        tick_ms=number(values, "tick", 1.0),
     )
 
 
 def read_event(
-    word: str, fields: Fields, note: Callable[[str], None]
-) -> Event | Start | Stop | ListNews | None:
-    """The event of one line, or None for a kind that is unknown or of no use to a balancer."""
+    word: str, fields: Fields, warn: Callable[[str], None]
+) -> Event | InstanceStarted | InstanceKilled | ListReference | None:
+    """Parse the event of one line; None if its kind is unknown, or irrelevant to a balancer."""
     match word:
         case "knock":
             return RequestArrived(
-                whole(fields, "corr"),
-                need(fields, "grade"),
+                integer(fields, "corr"),
+                required(fields, "grade"),
                 number(fields, "remaining"),
                 fields.get("customer"),
             )
         case "verdict":
             return AttemptEnded(
-                whole(fields, "corr"),
-                whole(fields, "shot"),
-                need(fields, "upstream"),
-                _outcome(fields, note),
+                integer(fields, "corr"),
+                integer(fields, "shot"),
+                required(fields, "upstream"),
+                _outcome(fields, warn),
                 fields.get("complete") == "1",
             )
         case "reminder":
-            return TimerDue(need(fields, "ctx"))
+            return TimerDue(required(fields, "ctx"))
         case "client_gone":
-            return ClientDisconnected(whole(fields, "corr"))
+            return ClientDisconnected(integer(fields, "corr"))
         case "established":
-            return ResponseStarted(whole(fields, "corr"), whole(fields, "shot"))
+            return ResponseStarted(integer(fields, "corr"), integer(fields, "shot"))
         case "membership":
-            kind = _word(_LIST_KINDS, fields, "mode")
-            return ListNews(kind, None if kind is ListKind.FAILED else whole(fields, "list"))
+            kind = _lookup(_LIST_KINDS, fields, "mode")
+            return ListReference(kind, None if kind is ListKind.FAILED else integer(fields, "list"))
         case "up":
-            facts = {name: value for name, value in fields.items() if name not in ("who", "prng")}
-            return Start(whole(fields, "prng"), read_settings(facts, note))
+            values = {name: value for name, value in fields.items() if name not in ("who", "prng")}
+            return InstanceStarted(integer(fields, "prng"), read_settings(values, warn))
         case "killed":
-            return Stop()
+            return InstanceKilled()
         case "note_from" | "check_result":
             return None
-    note(f"event {word!r} is unknown and ignored")
+    warn(f"ignoring an event of the unknown kind {word!r}")
     return None
 
 
-def list_update(news: ListNews, members: tuple[Member, ...]) -> ListUpdate:
-    """The list event with the entries of its ledger."""
-    return ListUpdate(news.kind, members)
+def list_update(reference: ListReference, members: tuple[Member, ...]) -> ListUpdate:
+    """The list event with the entries that it refers to."""
+    return ListUpdate(reference.kind, members)
 
 
-def write_action(who: str, action: Action) -> str:
-    """One action as a line of the reply."""
+def write_action(instance: str, action: Action) -> str:
+    """Format an action as a line of the reply; raises ValueError for an action that the protocol lacks."""
     match action:
         case Send(request, server, timeout):
-            return f"send who={who} corr={request} upstream={server} timeout={timeout:.3f}"
+            return f"send who={instance} corr={request} upstream={server} timeout={timeout:.3f}"
         case SetTimer(at, token):
-            return f"remind who={who} moment={at:.3f} ctx={token}"
+            return f"remind who={instance} moment={at:.3f} ctx={token}"
         case Refuse(request, retry_after):
             advice = f" stayAway={retry_after:.3f}" if retry_after > 0 else ""
-            return f"reject who={who} corr={request}{advice}"
+            return f"reject who={instance} corr={request}{advice}"
         case Fail(request):
-            return f"abort who={who} corr={request}"
+            return f"abort who={instance} corr={request}"
         case Cancel(request, attempt):
-            return f"cancel who={who} corr={request} shot={attempt}"
+            return f"cancel who={instance} corr={request} shot={attempt}"
         case Subscribe():
-            return f"follow who={who} enable=1"
+            return f"follow who={instance} enable=1"
         case SetAttemptTimeout():
-            raise ValueError("no request on the simulator's wire has an open body")
+            raise ValueError("the simulator's protocol has no requests with an open body")
         case Log(text):
-            return f"say_log who={who} bodyText={_one_line(text)}"
+            return f"say_log who={instance} bodyText={_one_line(text)}"
 
 
-def write_fault(who: str, error: BaseException) -> str:
-    """The line that says that an instance's decision code has failed."""
-    return f"give_in who={who} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
+def write_failure(instance: str, error: BaseException) -> str:
+    """Format the line that reports an exception in the decision code of an instance."""
+    return f"give_in who={instance} bodyText={_one_line(f'{type(error).__name__}: {error}')}"
 
 
 def _one_line(text: str) -> str:
