--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings of their own, and a small host that carries out actions."""
+"""Request classes, settings, and a harness that drives a balancer, for the tests of the decision module."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 ORDER = RequestClass("order", 1_000, 3_000, Effect.KEYED, DedupScope.CELL, 2_000)
 ANYWHERE = RequestClass("anywhere", 1_000, 3_000, Effect.KEYED, DedupScope.ALL, 2_000)
 ZONAL = RequestClass("zonal", 1_000, 3_000, Effect.KEYED, DedupScope.ZONE, 2_000)
-# A window says nothing for a class that must not run twice, but settings may give one.
+# A deduplication window has no effect on a class that must not run twice, but settings may contain one.
 PAY = RequestClass("pay", 1_000, 3_000, Effect.ONCE, dedup_window_ms=2_000)
 CLASSES = (READ, ORDER, ANYWHERE, ZONAL, PAY)
 
@@ -48,7 +48,7 @@
 
 
 class BalancerHarness:
-    """A balancer with a list, and the time and request numbers kept for it."""
+    """A balancer with a server list; keeps the clock, numbers the requests and records all actions."""
 
     def __init__(self, count: int = 4, seed: int = 1, **changes: Any) -> None:
         self.balancer = Balancer(settings(**changes), seed)
@@ -75,7 +75,7 @@
         return self.deliver(AttemptEnded(request, attempt, server, outcome, outcome is Outcome.SERVED))
 
     def serve_request(self, cls: RequestClass = READ, takes: float | dict[str, float] = 50.0) -> str:
-        """One request, served by whichever server it is sent to; each may take its own time."""
+        """Serve one request on the server that it is sent to; `takes` in ms, for all or by server."""
         request, actions = self.new_request(cls)
         server = sent(actions)[0].server
         self.now += takes[server] if isinstance(takes, dict) else takes
@@ -84,7 +84,7 @@
 
 
 def always_warm(server: Server, now: float) -> float:
-    """The warmth of a server that has run for long."""
+    """The warmth of a server that started long ago."""
     return 1.0
 
 
--- a/tests/reference_pick.py
+++ b/tests/reference_pick.py
@@ -1,4 +1,7 @@
-"""The pick as it was before servers were drawn without a walk: what the module must equal in distribution."""
+"""Reference implementation of picking a server, by a walk over all of them.
+
+`Balancer._pick` samples servers instead, and must pick them with the same distribution.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
 from umberworks.servers import CHOICES, GOOD_SHARE, Server
 
 
-def able(balancer: Balancer, request: Any, now: float) -> list[Server]:
-    """The servers that the next attempt may go to, by a walk over all."""
+def candidates(balancer: Balancer, request: Any, now: float) -> list[Server]:
+    """The servers that the next attempt may go to."""
     settings, fleet, cls = balancer._settings, balancer._fleet, request.cls
     ran = next((a for a in request.attempts if a.ran), None)
     if request.is_out() and not settings.may_duplicate:
@@ -36,9 +39,9 @@
 
 
 def pick(balancer: Balancer, request: Any, now: float) -> Server | None:
-    """A walk, the sums, and the sampler."""
+    """Computes the capacity of each candidate, and compares `CHOICES` of them drawn by capacity."""
     median = balancer._refresh_median(now)
-    found = able(balancer, request, now)
+    found = candidates(balancer, request, now)
     if not found:
         return None
     capacity = []
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,4 @@
-"""Drawing servers without a walk: the same decisions in distribution as the plain walk, whatever the fleet."""
+"""Sampling of servers: the same distribution of picks as the reference, which walks over all servers."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 PICKS = 30_000
 
 
-def taught(count: int, spread: float, seed: int, calls: int = 3_000, **changes: Any) -> BalancerHarness:
-    """A harness whose servers differ by up to `spread` in what they can, and that has served so many calls."""
+def trained(count: int, spread: float, seed: int, calls: int = 3_000, **changes: Any) -> BalancerHarness:
+    """A harness whose servers differ in speed by up to `spread` times, after it has served `calls` calls."""
     harness, chance = BalancerHarness(count, seed=seed, balancers=1, **changes), random.Random(seed)
     speed = {f"s{i}": spread ** chance.random() for i in range(count)}
     out: list[tuple[float, int, str]] = []
@@ -49,7 +49,7 @@
 
 
 def chi_square(a: Counter[str], b: Counter[str]) -> tuple[float, int]:
-    """Of two samples, and the degrees of freedom; classes that are rare in both are taken together."""
+    """Chi-square statistic of two samples and its degrees of freedom; keys rare in both are pooled."""
     pooled: Counter[tuple[str, int]] = Counter()
     rare = {k for k in a | b if a[k] + b[k] < 20}
     for n, sample in enumerate((a, b)):
@@ -65,100 +65,102 @@
     return value, len(keys) - 1
 
 
-def same(balancer: Balancer, asked: Request, now: float, picks: int = PICKS) -> None:
-    """Picks of the module and of the plain walk, at one moment, come from one distribution (p > 0.0005)."""
-    ours, walk = Counter[str](), Counter[str]()
+def assert_same_distribution(balancer: Balancer, pending: Request, now: float, picks: int = PICKS) -> None:
+    """Check that the balancer's and the reference's picks have the same distribution (p > 0.0005)."""
+    sampled, reference = Counter[str](), Counter[str]()
     for _ in range(picks):
         for found, into in (
-            (balancer._pick(asked, now), ours),
-            (reference_pick.pick(balancer, asked, now), walk),
+            (balancer._pick(pending, now), sampled),
+            (reference_pick.pick(balancer, pending, now), reference),
         ):
             into[found.member.server if found is not None else ""] += 1
-    value, free = chi_square(ours, walk)
-    if free:
-        limit = free * (1 - 2 / (9 * free) + 3.29 * math.sqrt(2 / (9 * free))) ** 3  # Wilson and Hilferty
-        assert value < limit, (value, limit, free)
-    assert ("" in ours) == ("" in walk)
+    value, freedom = chi_square(sampled, reference)
+    if freedom:
+        limit = (
+            freedom * (1 - 2 / (9 * freedom) + 3.29 * math.sqrt(2 / (9 * freedom))) ** 3
+        )  # Wilson and Hilferty
+        assert value < limit, (value, limit, freedom)
+    assert ("" in sampled) == ("" in reference)
 
 
 @pytest.mark.parametrize(
     ("count", "spread", "seed"),
     [(12, 30.0, 13), (40, 1.0, 1), (40, 1_000.0, 2), (200, 10.0, 3), (1_000, 1_000.0, 4)],
 )
-def test_picks_are_those_of_the_walk_in_distribution(count: int, spread: float, seed: int) -> None:
-    harness = taught(count, spread, seed)
+def test_picks_have_the_distribution_of_the_reference(count: int, spread: float, seed: int) -> None:
+    harness = trained(count, spread, seed)
     assert harness.balancer._fleet.subset_size > MAX_FULL_PICK
-    same(harness.balancer, request(), harness.now, PICKS if count < 100 else PICKS // 4)
-    harness.now += 4_000  # evidence has faded, nobody has been touched since
-    same(harness.balancer, request(), harness.now, PICKS // 8)
+    assert_same_distribution(harness.balancer, request(), harness.now, PICKS if count < 100 else PICKS // 4)
+    harness.now += 4_000  # evidence has decayed, and no server has been updated since
+    assert_same_distribution(harness.balancer, request(), harness.now, PICKS // 8)
 
 
-def test_picks_by_size_are_those_of_the_walk() -> None:
-    harness = taught(60, 5.0, 5, sizes_exact=True)
+def test_picks_by_size_have_the_distribution_of_the_reference() -> None:
+    harness = trained(60, 5.0, 5, sizes_exact=True)
     chance = random.Random(1)
     harness.update_list(*(Member(f"s{i}", size=chance.choice([0.3, 1.0, 4.0, 5.5])) for i in range(60)))
     assert not harness.balancer._sparse
-    same(harness.balancer, request(), harness.now)
+    assert_same_distribution(harness.balancer, request(), harness.now)
 
 
-def test_what_was_tried_is_left_out_as_by_the_walk() -> None:
-    harness = taught(80, 20.0, 6)
+def test_a_retry_avoids_tried_servers_as_the_reference_does() -> None:
+    harness = trained(80, 20.0, 6)
     loaded = sorted(harness.balancer._servers.values(), key=lambda s: -s.served)
-    asked = request(READ, *((s, True) for s in loaded[:3]), now=harness.now)
-    same(harness.balancer, asked, harness.now)
-    picked = {harness.balancer._pick(asked, harness.now) for _ in range(2_000)}
+    pending = request(READ, *((s, True) for s in loaded[:3]), now=harness.now)
+    assert_same_distribution(harness.balancer, pending, harness.now)
+    picked = {harness.balancer._pick(pending, harness.now) for _ in range(2_000)}
     assert not picked & set(loaded[:3])
 
 
-def test_a_keyed_repeat_is_drawn_from_all_that_drop_repeats_as_by_the_walk() -> None:
-    harness = taught(80, 20.0, 7)
+def test_a_keyed_repeat_goes_to_servers_that_drop_duplicates_as_in_the_reference() -> None:
+    harness = trained(80, 20.0, 7)
     server = harness.balancer._fleet.ready[0]
     fresh = [Member(f"s{i}", up_since_ms=harness.now + 1) for i in range(0, 80, 2)]
-    asked = request(ANYWHERE, (server, True), now=harness.now)
+    pending = request(ANYWHERE, (server, True), now=harness.now)
     harness.update_list(*fresh, kind=ListKind.CHANGES)
     harness.now += 30_000 if ANYWHERE.dedup_window_ms > 31_000 else 50
-    same(harness.balancer, asked, harness.now, 4_000)
+    assert_same_distribution(harness.balancer, pending, harness.now, 4_000)
     assert harness.balancer._pick(request(PAY, (server, True), now=harness.now), harness.now) is None
 
 
-def test_among_cold_servers_the_warm_are_drawn_as_by_the_walk() -> None:
-    harness = taught(100, 3.0, 8)
+def test_picks_among_cold_and_warm_servers_have_the_distribution_of_the_reference() -> None:
+    harness = trained(100, 3.0, 8)
     harness.update_list(
         *(Member(f"s{i}", up_since_ms=harness.now - 100.0 * i) for i in range(100)), kind=ListKind.CHANGES
     )
     for server in harness.balancer._servers.values():
         server.last_sent = harness.now - 1 if server.rank < 0.5 else -math.inf
-    same(harness.balancer, request(), harness.now, 4_000)
+    assert_same_distribution(harness.balancer, request(), harness.now, 4_000)
 
 
-@pytest.mark.parametrize("able", [0, 1, 3])
-def test_the_few_that_are_able_are_found_among_many(able: int) -> None:
-    harness = taught(400, 2.0, 9, calls=2_500)
+@pytest.mark.parametrize("untried", [0, 1, 3])
+def test_few_untried_servers_are_found_among_many(untried: int) -> None:
+    harness = trained(400, 2.0, 9, calls=2_500)
     in_subset = harness.balancer._fleet.ready[: harness.balancer._fleet.subset_size]
     assert len(in_subset) > MAX_TRIALS
-    asked = request(READ, *((s, True) for s in in_subset[able:]), now=harness.now)
-    found = {harness.balancer._pick(asked, harness.now) for _ in range(300)}
-    # where all were tried, any may be again
-    assert found == set(in_subset[:able]) if able else found <= set(in_subset) and len(found) > 50
+    pending = request(READ, *((s, True) for s in in_subset[untried:]), now=harness.now)
+    found = {harness.balancer._pick(pending, harness.now) for _ in range(300)}
+    # if all were tried, any may be picked again
+    assert found == set(in_subset[:untried]) if untried else found <= set(in_subset) and len(found) > 50
 
 
-def test_where_all_are_cold_and_full_none_is_picked_and_the_look_is_bounded(
+def test_no_server_is_picked_and_few_are_visited_if_all_are_cold_and_full(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    harness = taught(3_000, 1.0, 10, calls=4_000)
+    harness = trained(3_000, 1.0, 10, calls=4_000)
     balancer = harness.balancer
     balancer._fleet.resize_subset(3_000, 1.0, harness.now)
     monkeypatch.setattr(balancer, "_resize_subset", lambda: None)
-    looked = Counter[str]()
+    visited = Counter[str]()
     monkeypatch.setattr(
-        balancer._slow_start, "admits", lambda server, now: looked.update([server.member.server])
+        balancer._slow_start, "admits", lambda server, now: visited.update([server.member.server])
     )
     balancer._slow_start.cold_until = math.inf
     assert balancer._pick(request(), harness.now) is None
-    assert looked.total() <= MAX_TRIALS + MAX_WALK
+    assert visited.total() <= MAX_TRIALS + MAX_WALK
 
 
-def test_a_list_of_ten_thousand_that_flaps_keeps_the_fleet_whole() -> None:
+def test_the_fleet_is_consistent_after_large_list_changes() -> None:
     harness = BalancerHarness(0)
     chance = random.Random(11)
     for _ in range(4):
@@ -171,18 +173,15 @@
         assert len(harness.balancer._servers) == 5_000
 
 
-def test_idle_for_hours_then_a_burst() -> None:
-    harness = taught(100, 10.0, 12)
+def test_a_burst_after_idle_hours_is_spread_over_the_servers() -> None:
+    harness = trained(100, 10.0, 12)
     harness.now += 5 * 3_600_000.0
     picked = Counter(a.server for _ in range(200) for a in sent(harness.new_request(READ)[1]))
     assert len(picked) >= 10 and all(math.isfinite(s.busy_ms) for s in harness.balancer._servers.values())
 
 
-# ---- properties
-
-
-class FleetStays(RuleBasedStateMachine):
-    """Whatever happens: sets are whole, bounds hold, and the calls in memory are those of the servers."""
+class FleetConsistency(RuleBasedStateMachine):
+    """Random operations on a fleet: sets are consistent, bounds hold, and the sum of decayed calls is right."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -216,7 +215,7 @@
             server.in_flight -= 1
             for _ in range(calls):
                 server.served += 1
-                self.fleet.served(server, self.median, self.now)
+                self.fleet.record_served(server, self.median, self.now)
 
     @rule(which=st.integers(0, 99), by=st.sampled_from([-1, 1]))
     def is_sent(self, which: int, by: int) -> None:
@@ -269,12 +268,12 @@
         )
 
 
-FleetStays.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
-TestFleetStays = FleetStays.TestCase
+FleetConsistency.TestCase.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
+TestFleetConsistency = FleetConsistency.TestCase
 
 
 @given(st.lists(st.floats(1e-6, 1e6), min_size=1, max_size=30), st.floats(1e-3, 1e3))
-def test_a_table_s_last_sum_is_at_least_all_capacities(rates: list[float], median: float) -> None:
+def test_the_sum_of_bounds_is_at_least_the_sum_of_capacities(rates: list[float], median: float) -> None:
     sampler, whole = ServerSampler(), 0.0
     for rate in rates:
         server = Server(Member("s"), 0.0, 0.5, always_warm)
@@ -286,7 +285,7 @@
 
 
 @given(st.lists(st.floats(0.01, 3_000), min_size=1, max_size=30), st.integers(0, 5))
-def test_evidence_brought_up_at_once_is_that_of_many_steps(gaps: list[float], out: int) -> None:
+def test_evidence_decays_the_same_in_one_step_as_in_many(gaps: list[float], out: int) -> None:
     at_once, stepwise = Server(Member("s"), 0.0, 0.5, always_warm), Server(Member("s"), 0.0, 0.5, always_warm)
     now = 0.0
     for server in (at_once, stepwise):
