--- a/tests/test_detached.py
+++ b/tests/test_detached.py
@@ -51,9 +51,8 @@
         harness.deliver(Detached(name))
     _, actions = harness.new_request()
     assert not sent(actions)
-    assert [s.server for s in sent(harness.deliver(Attached("s1", harness.now)))] == [
-        "s1"
-    ]  # it has waited for that
+    # it has waited for that
+    assert [s.server for s in sent(harness.deliver(Attached("s1", harness.now)))] == ["s1"]
     assert harness.serve_request() == "s1"
 
 
--- a/tests/test_open_bodies.py
+++ b/tests/test_open_bodies.py
@@ -34,10 +34,11 @@
     request, actions = harness.new_request(ORDER, body_open=True)
     (send,) = sent(actions)
     assert send.timeout_ms == math.inf
+    # its server has nothing to do yet
     assert (in_flight(harness), harness.balancer._load.in_flight) == (
         0,
         0,
-    )  # its server has nothing to do yet
+    )
     harness.now += 60_000
     (limit,) = of_kind(harness.deliver(BodyEnded(request, 2_500)), SetAttemptTimeout)
     assert limit == SetAttemptTimeout(request, 0, 1_000)  # the class is worth nothing past its aim
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -76,9 +76,8 @@
             into[found.member.server if found is not None else ""] += 1
     value, freedom = chi_square(sampled, reference)
     if freedom:
-        limit = (
-            freedom * (1 - 2 / (9 * freedom) + 3.29 * math.sqrt(2 / (9 * freedom))) ** 3
-        )  # Wilson and Hilferty
+        # Wilson and Hilferty
+        limit = freedom * (1 - 2 / (9 * freedom) + 3.29 * math.sqrt(2 / (9 * freedom))) ** 3
         assert value < limit, (value, limit, freedom)
     assert ("" in sampled) == ("" in reference)
 
@@ -181,7 +180,7 @@
 
 
 class FleetConsistency(RuleBasedStateMachine):
-    """Random operations on a fleet: sets are consistent, bounds hold, and the sum of decayed calls is right."""
+    """Random operations on a fleet: sets stay consistent, bounds hold, and the decayed calls add up."""
 
     def __init__(self) -> None:
         super().__init__()
