--- a/tests/test_detached.py
+++ b/tests/test_detached.py
@@ -1,4 +1,4 @@
-"""Servers that operators take out and put back: the module's side."""
+"""Decisions about servers that operators detach and attach again."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from umberworks.interface import Attached, Detached, ListKind, Member, Outcome, Readiness
 
 
-def picked(harness: BalancerHarness, calls: int = 60) -> set[str]:
+def servers_used(harness: BalancerHarness, calls: int = 60) -> set[str]:
     return {harness.serve_request() for _ in range(calls)}
 
 
-def test_nothing_new_goes_to_one_that_was_taken_out_whatever_the_list_says() -> None:
+def test_a_detached_server_gets_no_new_calls_whatever_the_list_says() -> None:
     harness = BalancerHarness(4)
     harness.deliver(Detached("s1"))
-    assert picked(harness) == {"s0", "s2", "s3"}
+    assert servers_used(harness) == {"s0", "s2", "s3"}
     harness.update_list(*members(4))
     harness.update_list(Member("s1", Readiness.DRAINING), kind=ListKind.CHANGES)
     harness.update_list(Member("s1"), kind=ListKind.CHANGES)
-    assert "s1" not in picked(harness)
+    assert "s1" not in servers_used(harness)
     harness.update_list(Member("s1", Readiness.GONE), kind=ListKind.CHANGES)
     harness.update_list(Member("s1", up_since_ms=harness.now), kind=ListKind.CHANGES)
-    assert "s1" not in picked(harness)
+    assert "s1" not in servers_used(harness)
 
 
-def test_one_that_is_taken_out_before_the_list_names_it_stays_out() -> None:
+def test_a_server_that_is_detached_before_it_is_listed_gets_no_calls() -> None:
     harness = BalancerHarness(0)
     harness.deliver(Detached("s0"))
     harness.update_list(*members(2))
-    assert picked(harness) == {"s1"}
+    assert servers_used(harness) == {"s1"}
 
 
-def test_a_request_that_failed_is_not_sent_to_one_taken_out_meanwhile() -> None:
+def test_a_retry_does_not_go_to_a_server_that_was_detached_meanwhile() -> None:
     harness = BalancerHarness(2)
     request, actions = harness.new_request()
     first = sent(actions)[0].server
@@ -45,27 +45,27 @@
     assert [s.server for s in sent(harness.end_attempt(request, 0, first, Outcome.UNREACHED))] == [first]
 
 
-def test_with_all_taken_out_requests_are_refused_in_the_end_and_served_once_one_is_back() -> None:
+def test_requests_wait_while_all_servers_are_detached_and_are_sent_to_the_first_attached_one() -> None:
     harness = BalancerHarness(2, cold_ms=0)
     for name in ("s0", "s1"):
         harness.deliver(Detached(name))
     _, actions = harness.new_request()
     assert not sent(actions)
-    # it has waited for that
+    # the waiting request is sent
     assert [s.server for s in sent(harness.deliver(Attached("s1", harness.now)))] == ["s1"]
     assert harness.serve_request() == "s1"
 
 
-def test_one_put_back_counts_as_just_started_until_the_list_tells() -> None:
+def test_an_attached_server_counts_as_just_started_until_the_list_says_more() -> None:
     harness = BalancerHarness(4, cold_ms=10_000)
-    picked(harness)
+    servers_used(harness)
     harness.deliver(Detached("s1"))
     harness.now += 5_000
     harness.deliver(Attached("s1", harness.now))
     balancer = harness.balancer
     server = balancer._servers["s1"]
     assert balancer._slow_start.warmth(server, harness.now) == 0.2
-    assert server.served == 0  # what was known of it was of another process
+    assert server.served == 0  # the evidence may have been of another process
     harness.update_list(*members(4))  # an old list does not make it warm
     assert balancer._slow_start.warmth(server, harness.now) == 0.2
     assert balancer._slow_start.warmth(server, harness.now + 10_000) == 1.0
@@ -73,27 +73,27 @@
     assert balancer._slow_start.warmth(server, harness.now + 4_000) == 0.2
 
 
-def test_one_put_back_is_in_use_again_at_once_though_it_is_cold_and_others_are_idle() -> None:
+def test_an_attached_server_gets_a_call_at_once_though_it_is_cold_and_others_are_idle() -> None:
     harness = BalancerHarness(12, cold_ms=20_000, cold_from=0.15)
-    picked(harness)
+    servers_used(harness)
     harness.deliver(Detached("s1"))
     harness.now += 5_000
     harness.deliver(Attached("s1", harness.now))
     assert harness.serve_request() == "s1"
     later = [harness.serve_request() for _ in range(20)]
-    assert later.count("s1") <= 1  # one call shows it; it is not pushed over
+    assert later.count("s1") <= 1  # one call is enough to learn from, and does not overload it
 
 
-def test_one_put_back_long_ago_is_in_use_and_warm() -> None:
+def test_a_server_attached_long_ago_is_used_and_warm() -> None:
     harness = BalancerHarness(2)
     harness.deliver(Detached("s0"))
     harness.deliver(Attached("s0", 0.0))
-    assert picked(harness) == {"s0", "s1"}
+    assert servers_used(harness) == {"s0", "s1"}
 
 
-def test_one_put_back_that_fails_is_tried_now_and_then_only() -> None:
+def test_an_attached_server_that_fails_is_tried_rarely() -> None:
     harness = BalancerHarness(12, cold_ms=20_000, cold_from=0.15)
-    picked(harness)
+    servers_used(harness)
     harness.deliver(Detached("s1"))
     harness.deliver(Attached("s1", harness.now))
     tries = 0
@@ -113,7 +113,7 @@
     assert 2 <= tries <= 11
 
 
-def test_a_repeat_does_not_go_to_one_put_back_since_the_first_try() -> None:
+def test_a_repeat_does_not_go_to_a_server_attached_since_the_first_attempt() -> None:
     harness = BalancerHarness(2, cold_ms=0)
     request, actions = harness.new_request(ORDER)  # s0 and s1 are one cell
     first = sent(actions)[0].server
@@ -125,21 +125,21 @@
     assert [s.server for s in again] in ([], [first])
 
 
-class TakenOut(RuleBasedStateMachine):
-    """Any order of lists, bans and requests: nothing is sent to one that is out or not listed as ready."""
+class DetachedServers(RuleBasedStateMachine):
+    """Lists, detached servers and requests in any order: only ready servers that are attached get calls."""
 
     def __init__(self) -> None:
         super().__init__()
         self.harness = BalancerHarness(0, cold_ms=2_000)
         self.listed: dict[str, Readiness] = {}
-        self.out: set[str] = set()
+        self.detached: set[str] = set()
         self.open: list[tuple[int, int, str]] = []
 
     names = st.sampled_from([f"s{i}" for i in range(5)])
 
-    def note(self, actions: list[object]) -> None:
+    def check(self, actions: list[object]) -> None:
         for send in sent(actions):  # type: ignore[arg-type]
-            assert send.server not in self.out
+            assert send.server not in self.detached
             assert self.listed.get(send.server) is Readiness.READY
             tries = sum(r == send.request for r, _, _ in self.open + self.ended)
             self.open.append((send.request, tries, send.server))
@@ -147,55 +147,57 @@
     ended: list[tuple[int, int, str]]
 
     @rule(names=st.dictionaries(names, st.sampled_from([Readiness.READY, Readiness.DRAINING])))
-    def whole(self, names: dict[str, Readiness]) -> None:
+    def whole_list(self, names: dict[str, Readiness]) -> None:
         self.listed = dict(names)
-        self.note(self.harness.update_list(*(Member(n, r) for n, r in names.items())))  # type: ignore[arg-type]
+        self.check(self.harness.update_list(*(Member(n, r) for n, r in names.items())))  # type: ignore[arg-type]
 
     @rule(name=names, readiness=st.sampled_from(Readiness), started=st.booleans())
-    def change(self, name: str, readiness: Readiness, started: bool) -> None:
+    def list_change(self, name: str, readiness: Readiness, started: bool) -> None:
         self.listed[name] = readiness
         member = Member(name, readiness, up_since_ms=self.harness.now if started else 0.0)
-        self.note(self.harness.update_list(member, kind=ListKind.CHANGES))  # type: ignore[arg-type]
+        self.check(self.harness.update_list(member, kind=ListKind.CHANGES))  # type: ignore[arg-type]
 
     @rule(name=names)
     def detach(self, name: str) -> None:
-        self.out.add(name)
-        self.note(self.harness.deliver(Detached(name)))  # type: ignore[arg-type]
+        self.detached.add(name)
+        self.check(self.harness.deliver(Detached(name)))  # type: ignore[arg-type]
 
     @rule(name=names)
     def attach(self, name: str) -> None:
-        self.out.discard(name)
-        self.note(self.harness.deliver(Attached(name, self.harness.now)))  # type: ignore[arg-type]
+        self.detached.discard(name)
+        self.check(self.harness.deliver(Attached(name, self.harness.now)))  # type: ignore[arg-type]
 
     @rule()
-    def ask(self) -> None:
+    def new_request(self) -> None:
         self.harness.now += 20
-        self.note(self.harness.new_request(READ)[1])  # type: ignore[arg-type]
+        self.check(self.harness.new_request(READ)[1])  # type: ignore[arg-type]
 
     @rule(
         outcome=st.sampled_from([Outcome.SERVED, Outcome.UNREACHED, Outcome.BROKEN]), which=st.integers(0, 9)
     )
-    def end(self, outcome: Outcome, which: int) -> None:
+    def end_attempt(self, outcome: Outcome, which: int) -> None:
         if not self.open:
             return
         request, attempt, server = self.open.pop(which % len(self.open))
         self.ended.append((request, attempt, server))
         self.harness.now += 5
-        self.note(self.harness.end_attempt(request, attempt, server, outcome))  # type: ignore[arg-type]
+        self.check(self.harness.end_attempt(request, attempt, server, outcome))  # type: ignore[arg-type]
 
     @rule(by=st.integers(1, 3_000))
-    def wait(self, by: int) -> None:
+    def time_passes(self, by: int) -> None:
         self.harness.now += by
 
     @invariant()
-    def the_ready_are_those_listed_and_not_out(self) -> None:
+    def eligible_servers_are_ready_and_not_detached(self) -> None:
         ready = {s.member.server for s in self.harness.balancer._fleet.ready}
-        assert ready == {n for n, r in self.listed.items() if r is Readiness.READY} - self.out
+        assert ready == {n for n, r in self.listed.items() if r is Readiness.READY} - self.detached
 
     def teardown(self) -> None:
         self.ended.clear()
 
 
-TakenOut.ended = []
-TakenOut.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=40, deadline=None)
-TestTakenOut = TakenOut.TestCase
+DetachedServers.ended = []
+DetachedServers.TestCase.settings = hypothesis_settings(
+    max_examples=60, stateful_step_count=40, deadline=None
+)
+TestDetachedServers = DetachedServers.TestCase
