--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -12,8 +12,7 @@
 from umberworks.interface import (
     AttemptEnded,
     Effect,
-    Inherited,
-    Known,
+    LearnedState,
     ListKind,
     ListUpdate,
     Member,
@@ -21,13 +20,14 @@
     RequestArrived,
     RequestClass,
     Send,
+    ServerEstimate,
     Settings,
 )
 from umberworks.rules import Balancer
 
 NUMBER = st.floats(0, 1e12)
 KNOWN = st.builds(
-    Known,
+    ServerEstimate,
     st.text(max_size=20),
     NUMBER,
     NUMBER,
@@ -39,8 +39,8 @@
 READ = RequestClass("read", 500, 2_000, Effect.REPEATABLE)
 
 
-@given(st.builds(Inherited, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
-def test_the_line_gives_back_what_was_written(learned: Inherited) -> None:
+@given(st.builds(LearnedState, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
+def test_the_line_gives_back_what_was_written(learned: LearnedState) -> None:
     line = heritage.write(learned)
     assert b"\n" not in line and heritage.read(line) == learned
 
@@ -81,7 +81,7 @@
     old, new = balancer(Member("a"), Member("b")), balancer(Member("a"), Member("b"))
     busy(old, 300, 2_000.0)
     learned = old.learned(5_000.0)
-    assert learned.base > 0 and all(k.usual_time > 0 for k in learned.servers)
+    assert learned.base > 0 and all(k.baseline_time > 0 for k in learned.servers)
     new.handle(learned, 5_000.0)
     assert new.learned(5_000.0) == learned
     busy(new, 20, 5_000.0)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -16,14 +16,14 @@
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import listen
-from tests.helpers import Desk, settings
+from tests.helpers import BalancerHarness, settings
 from tests.loopback import listing, member
 from tests.virtual import simulated
 from umberworks.interface import (
     Action,
+    DiscoveryMoved,
     Event,
     ListKind,
-    ListMoved,
     ListUpdate,
     Member,
     Readiness,
@@ -91,7 +91,7 @@
     # It is overdue after 2.5 s, when the second is made beside it; that one's failure is told, and nothing before.
     at, update = hears(after=1_000.0)[1]
     assert update.kind is ListKind.FAILED
-    assert update.unheard_ms == pytest.approx(6_000, abs=10)
+    assert update.since_contact_ms == pytest.approx(6_000, abs=10)
     assert at == pytest.approx(8.5, abs=0.02)
 
 
@@ -99,7 +99,9 @@
     assert hears(after=2.4, ask_within=3.0)[1][1].kind is ListKind.WHOLE
     at, update = hears(after=1_000.0, ask_within=5.0)[1]
     assert update.kind is ListKind.FAILED and at == pytest.approx(2.5 + 3.0, abs=0.02)
-    assert update.unheard_ms == pytest.approx(3_000, abs=10)  # the next is due 5 s after the second was made
+    assert update.since_contact_ms == pytest.approx(
+        3_000, abs=10
+    )  # the next is due 5 s after the second was made
 
 
 @given(
@@ -122,11 +124,11 @@
 
     def __init__(self, within: float, balancers: int, seed: int) -> None:
         self.within, self.now = within, 1_000.0
-        self.desk = Desk(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within)
+        self.harness = BalancerHarness(2, seed, balancers=balancers, pulls_list=True, ask_within_ms=within)
         self.counted, self.times = self.now, 1
         self.due: list[float] = []
         self.asked = False  # a call is out
-        self.hear(self.desk.log)
+        self.hear(self.harness.all_actions)
 
     def hear(self, actions: list[Action]) -> None:
         for action in actions:
@@ -136,8 +138,8 @@
                 self.asked, self.counted, self.times = True, self.now, 1
 
     def tell(self, event: Event) -> None:
-        self.desk.now = self.now
-        self.hear(self.desk.tell(event))
+        self.harness.now = self.now
+        self.hear(self.harness.deliver(event))
 
     def wait_for_the_call(self) -> None:
         while not self.asked:
@@ -151,7 +153,7 @@
     def fail(self, after: float, unheard: float, times: int) -> None:
         self.now += after
         self.asked, self.counted, self.times = False, self.now - unheard, times
-        self.tell(ListUpdate(ListKind.FAILED, unheard_ms=unheard))
+        self.tell(ListUpdate(ListKind.FAILED, since_contact_ms=unheard))
 
 
 @given(
@@ -176,10 +178,10 @@
             case "move" | "two moves":
                 # Until the new place is asked the old one is watched: what ends at the worst ends at once.
                 judge.asked, judge.counted, judge.times = False, judge.now, 1
-                judge.tell(ListMoved())
+                judge.tell(DiscoveryMoved())
                 if step == "two moves":
                     judge.now += share * min([d - judge.now for d in judge.due] or [0.0])
-                    judge.tell(ListMoved())
+                    judge.tell(DiscoveryMoved())
                 judge.wait_for_the_call()
                 continue
         judge.wait_for_the_call()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.helpers import warm
+from tests.helpers import always_warm
 from umberworks.concurrency import GROWTH_FACTOR, MIN_CALLS_PER_SERVER, ConcurrencyLimits
 from umberworks.interface import Member
 from umberworks.recovery import (
@@ -19,15 +19,15 @@
     PAUSE_MS,
     Recovery,
 )
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 START = 1_796_131_357_300.0  # Unix time in ms, as the module's clock is
 STEP = 500.0  # how often the module looks
 
 
 def server(name: str) -> Server:
-    made = Server(Member(name), START, 0.5, warm)
-    made.fit = made.listed = True
+    made = Server(Member(name), START, 0.5, always_warm)
+    made.eligible = made.listed_ready = True
     return made
 
 
@@ -35,7 +35,7 @@
     """Send as long as there is room."""
     sent = 0
     while sent < most and crowd.admits(one, now):
-        one.live += 1
+        one.calls_out += 1
         sent += 1
     return sent
 
@@ -43,7 +43,7 @@
 def work(crowd: ConcurrencyLimits, one: Server, calls: int, held: int, aims: float, now: float) -> float:
     """A server that holds `held` calls answers so many, each after `aims` of its aim of 1 s; the time then."""
     one.catch_up(now)
-    one.live = held
+    one.calls_out = held
     for _ in range(calls):
         now += aims * 1000 / held
         one.catch_up(now)
@@ -72,12 +72,12 @@
 
 def test_it_is_the_mean_that_is_bounded_so_that_two_balancers_never_choke_one_together() -> None:
     crowd, one = ConcurrencyLimits(2), server("a")
-    one.live, one.crowd = (
+    one.calls_out, one.mean_calls_out = (
         3,
         MIN_CALLS_PER_SERVER / 2 + 0.1,
     )  # a standing crowd, of which one call has just ended
     assert not crowd.admits(one, START)
-    one.crowd = MIN_CALLS_PER_SERVER / 2 - 0.1
+    one.mean_calls_out = MIN_CALLS_PER_SERVER / 2 - 0.1
     assert crowd.admits(one, START)
 
 
@@ -85,7 +85,7 @@
     crowd, one = ConcurrencyLimits(1), server("a")
     work(crowd, one, 600, 6, 0.1, START)
     assert crowd.limit(one) > MIN_CALLS_PER_SERVER
-    one.forget(START + 60_000)
+    one.reset_evidence(START + 60_000)
     assert crowd.limit(one) == MIN_CALLS_PER_SERVER
 
 
@@ -93,20 +93,26 @@
     st.integers(1, 7), st.floats(0, 200), st.floats(0, 200), st.one_of(st.just(math.inf), st.floats(0.1, 50))
 )
 def test_a_full_server_gets_nothing_and_an_idle_one_always_something(
-    balancers: int, carries: float, before: float, ceiling: float
+    balancers: int, concurrency_limit: float, before: float, concurrency_ceiling: float
 ) -> None:
     crowd, one = ConcurrencyLimits(balancers), server("a")
-    one.carries, one.crowd, one.ceiling = carries, before, ceiling
+    one.concurrency_limit, one.mean_calls_out, one.concurrency_ceiling = (
+        concurrency_limit,
+        before,
+        concurrency_ceiling,
+    )
     sent = fill(crowd, one, START)
     most = crowd.limit(one)
-    assert most <= ceiling
+    assert most <= concurrency_ceiling
     assert 1 <= sent <= max(math.ceil(most), 1)
     for step in range(1, 200):  # calls that end are replaced while there is room
         now = START + step * 100
         one.catch_up(now)
-        one.live = max(one.live - 1, 0)
+        one.calls_out = max(one.calls_out - 1, 0)
         fill(crowd, one, now)
-    assert one.crowd <= max(most, 1.0) + 1.0  # a standing crowd keeps to the mean, but for a whole call
+    assert (
+        one.mean_calls_out <= max(most, 1.0) + 1.0
+    )  # a standing crowd keeps to the mean, but for a whole call
 
 
 class Fleet:
@@ -128,11 +134,11 @@
     def look(self, number: int, short: bool = True, least: float = 2.5) -> str:
         for one in self.views[number]:
             resting = one.rests_until > self.now
-            one.usual_time, one.seen = 0.1, self.now
+            one.baseline_time, one.updated_at = 0.1, self.now
             one.recent_calls = 0.0 if resting else 20.0
-            one.recent = one.recent_calls * 1000
+            one.recent_aims_ms = one.recent_calls * 1000
             factor = 2.5 if one.member.server in self.choked else self.times[one.member.server]
-            one.crowd = 0.1 * factor * one.recent / (MEMORY_MS / 3)
+            one.mean_calls_out = 0.1 * factor * one.recent_aims_ms / (EVIDENCE_DECAY_MS / 3)
         said = self.rests[number].update(self.views[number], short, least, self.now)
         if said:
             self.log.append(f"{(self.now - START) / 1000:.1f} {number} {said}")
@@ -195,7 +201,7 @@
         "most servers are slow",
         "a rest was of no use",
     ]
-    assert all(s.ceiling == math.inf for s in fleet.views[0])
+    assert all(s.concurrency_ceiling == math.inf for s in fleet.views[0])
 
 
 def test_one_slow_server_is_left_to_the_draws() -> None:
@@ -254,9 +260,11 @@
     fleet = Fleet(4)
     fleet.choked = set(fleet.names)
     for one in fleet.views[0]:
-        one.carries = 10.0
+        one.concurrency_limit = 10.0
     fleet.run(20)
-    assert [s.ceiling for s in fleet.views[0]] == [pytest.approx(CEILING_FACTOR * 10.0 / GROWTH_FACTOR)] * 4
+    assert [s.concurrency_ceiling for s in fleet.views[0]] == [
+        pytest.approx(CEILING_FACTOR * 10.0 / GROWTH_FACTOR)
+    ] * 4
 
 
 def test_a_fleet_of_one_never_rests() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -16,7 +16,8 @@
     Action,
     AttemptEnded,
     Cancel,
-    ClientLeft,
+    ClientDisconnected,
+    DedupScope,
     Effect,
     Event,
     Fail,
@@ -26,7 +27,6 @@
     Outcome,
     Readiness,
     Refuse,
-    RepeatGroup,
     RequestArrived,
     RequestClass,
     Send,
@@ -109,7 +109,7 @@
                 case = self.cases[request]
                 maybe = [t for t in case.tries if t.may_have_run]
                 once_more = case.cls.effect is Effect.REPEATABLE or (
-                    case.cls.effect is Effect.KEYED and case.cls.repeat_group is RepeatGroup.ALL
+                    case.cls.effect is Effect.KEYED and case.cls.dedup_scope is DedupScope.ALL
                 )
                 assert not maybe or once_more, "refused what may have run"
                 self.finish(case, "refused")
@@ -141,11 +141,11 @@
         maybe = [t for t in case.tries if t.may_have_run]
         if maybe and case.cls.effect is not Effect.REPEATABLE:
             assert case.cls.effect is Effect.KEYED, "an unsafe request sent twice"
-            assert self.now < maybe[0].sent + case.cls.repeat_window_ms, "repeated after the window"
+            assert self.now < maybe[0].sent + case.cls.dedup_window_ms, "repeated after the window"
             for earlier in maybe:
-                if case.cls.repeat_group is RepeatGroup.CELL:
+                if case.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.cell == member.cell, "repeated outside the cell"
-                if case.cls.repeat_group is RepeatGroup.ZONE:
+                if case.cls.dedup_scope is DedupScope.ZONE:
                     assert earlier.zone == member.zone, "repeated outside the zone"
         self.check_cold(member)
 
@@ -214,7 +214,7 @@
                 self.finish(case, "served")
             answered = case.final is not None or case.gone
             event = AttemptEnded(event.request, event.attempt, event.server, event.outcome, answered)
-        if isinstance(event, ClientLeft):
+        if isinstance(event, ClientDisconnected):
             case = self.cases[event.request]
             if case.final is not None:
                 return
@@ -271,7 +271,7 @@
                 self.cases[number] = Case(cls, self.now + left)
                 self.tell(RequestArrived(number, cls.name, left))
                 if self.random.random() < 0.05:
-                    self.push(self.now + self.random.random() * left, ClientLeft(number))
+                    self.push(self.now + self.random.random() * left, ClientDisconnected(number))
 
     def check_overdue(self) -> None:
         for number, case in self.cases.items():
@@ -283,10 +283,10 @@
     {},
     {"calling_tier": 0, "classes": tuple(replace(c, aim_ms=2_990.0) for c in CLASSES)},
     {"may_duplicate": False},
-    {"list_is_asked": True},
+    {"pulls_list": True},
     {"may_cancel": False, "max_attempts": 1},
     {"balancers": 9, "cold_from": 0.05, "cold_window_ms": 3_000.0},
-    {"classes": CLASSES[:1], "may_duplicate": False, "list_is_asked": True},
+    {"classes": CLASSES[:1], "may_duplicate": False, "pulls_list": True},
 ]
 
 
--- a/umberworks/concurrency.py
+++ b/umberworks/concurrency.py
@@ -35,33 +35,33 @@
 
     def limit(self, server: Server) -> float:
         """How many of our calls it may hold in the mean."""
-        return min(max(server.carries, self.min_limit), server.ceiling)
+        return min(max(server.concurrency_limit, self.min_limit), server.concurrency_ceiling)
 
     def admits(self, server: Server, now: float) -> bool:
         """Whether it can take a call: its mean stays under what it may hold, and bursts too but for one."""
         server.catch_up(now)
         most = self.limit(server)
-        return not server.live or (server.live < most and server.crowd < most)
+        return not server.calls_out or (server.calls_out < most and server.mean_calls_out < most)
 
     def record_served(self, server: Server, aim_ms: float, now: float) -> None:
         """Count a served call; with a whole measure, note what the server carries."""
         if not self.enabled:
             return
-        server.recent += aim_ms
+        server.recent_aims_ms += aim_ms
         server.recent_calls += 1
         server.block_calls += 1
-        server.block_aims += aim_ms
-        span = now - server.block_from
+        server.block_aims_ms += aim_ms
+        span = now - server.block_start
         if server.block_calls < BLOCK_CALLS or span < BLOCK_MS:
             return
-        time, held = server.block_times / server.block_aims, server.block_times / span
-        server.block_calls, server.block_aims, server.block_times, server.block_from = 0, 0.0, 0.0, now
-        usual = server.usual_time or time
+        time, held = server.block_call_ms / server.block_aims_ms, server.block_call_ms / span
+        server.block_calls, server.block_aims_ms, server.block_call_ms, server.block_start = 0, 0.0, 0.0, now
+        usual = server.baseline_time or time
         most = self.limit(server)
         if time > LOST * usual:
-            server.carries = SHRINK * most
+            server.concurrency_limit = SHRINK * most
         elif time <= KEPT * usual and held >= NEAR * most:
-            server.carries = GROWTH_FACTOR * held
-            server.ceiling *= EASE
+            server.concurrency_limit = GROWTH_FACTOR * held
+            server.concurrency_ceiling *= EASE
         if time < LOST * usual:  # else something is wrong with it: the usual time stands meanwhile
-            server.usual_time = usual + (DOWN if time < usual else UP) * (time - usual)
+            server.baseline_time = usual + (DOWN if time < usual else UP) * (time - usual)
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -10,8 +10,8 @@
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
 
-from umberworks import interface as face
-from umberworks.servers import MEMORY_MS, Server
+from umberworks import interface
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 LONG_MS = 60_000.0  # what a kind has shown fades by 1/e over this: a kind stays what it is
 PRIOR_CALLS = 8.0  # calls' worth of belief that a kind is as fast as all; single calls differ by a lot
@@ -28,11 +28,11 @@
         self._shown: dict[str, tuple[float, float]] = {}  # of each kind: calls, and the time that they took
         self._seen = 0.0
 
-    def listed_size(self, member: face.Member) -> float:
+    def listed_size(self, member: interface.Member) -> float:
         """What the list says of a server's size."""
         return member.size if self._exact else 1.0
 
-    def estimated_size(self, member: face.Member) -> float:
+    def estimated_size(self, member: interface.Member) -> float:
         """That, by what its kind has shown."""
         return self.listed_size(member) * self._factors.get(member.kind, 1.0)
 
@@ -46,14 +46,14 @@
         fade = math.exp(-gap / LONG_MS)
         known: Mapping[str, list[tuple[float, float]]] = defaultdict(list)
         for server in servers:
-            if server.served and server.busy:
-                speed = server.served / server.busy / self.listed_size(server.member)
+            if server.served and server.busy_ms:
+                speed = server.served / server.busy_ms / self.listed_size(server.member)
                 for kind in (server.member.kind, ALL):
                     known[kind].append((speed, server.served))
         for kind in {*known, *self._shown}:
             calls, time = self._shown.get(kind, (0.0, 0.0))
             more, took = pool_middle_half(known.get(kind, []))
-            part = min(gap / MEMORY_MS, 1.0)  # the rest of it was there at the last look
+            part = min(gap / EVIDENCE_DECAY_MS, 1.0)  # the rest of it was there at the last look
             self._shown[kind] = calls * fade + more * part, time * fade + took * part
         moved, (all_calls, all_time) = False, self._shown.get(ALL, (0.0, 0.0))
         if len(self._shown) <= 2 or not all_time:  # all are of one kind, or none is told
--- a/umberworks/recovery.py
+++ b/umberworks/recovery.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 
 from umberworks.concurrency import GROWTH_FACTOR
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 SLOW, MOST = 1.6, 0.5  # usual times in service from which a server is slow; the share that has to be slow
 MIN_SLOW_MS = 3_500.0
@@ -78,11 +78,13 @@
         self._before = time(self._group)
         for server in self._group:  # it choked with what it could hold, unless it was far from that
             server.rests_until = self._until
-            server.ceiling = CEILING_FACTOR * min(max(server.carries / GROWTH_FACTOR, least), server.ceiling)
+            server.concurrency_ceiling = CEILING_FACTOR * min(
+                max(server.concurrency_limit / GROWTH_FACTOR, least), server.concurrency_ceiling
+            )
         return f"most servers are slow: {len(self._group)} of {sum(map(len, halves))} rest"
 
     def _judge(self, halves: tuple[list[Server], list[Server]], least: float, now: float) -> str:
-        calls = sum(s.recent_calls for s in self._group if s.fit)
+        calls = sum(s.recent_calls for s in self._group if s.eligible)
         if calls < 2 * LEAST_CALLS * len(self._group) and now - self._until < JUDGE_MS:
             return ""
         group, self._group = self._group, []
@@ -90,7 +92,7 @@
             if now >= self._sure_until:
                 self._off_until = now + DISABLED_MS
                 for server in group:
-                    server.ceiling = math.inf
+                    server.concurrency_ceiling = math.inf
                 return "a rest was of no use: the servers are slow, not choked"
             self._span = min(LONGER * self._span, LONGEST_MS)
             return f"a rest was too short; the next takes {self._span / 1000:.1f} s"
@@ -103,18 +105,18 @@
     def _free(self, now: float) -> None:
         self._until = now
         for server in self._group:
-            server.rests_until, server.ceiling = now, math.inf
+            server.rests_until, server.concurrency_ceiling = now, math.inf
         self._group = []
 
 
 def tells(server: Server) -> bool:
     """Whether it has served enough of late to be judged."""
-    return server.recent_calls >= LEAST_CALLS and server.usual_time > 0
+    return server.recent_calls >= LEAST_CALLS and server.baseline_time > 0
 
 
 def takes_long(server: Server, than: float = SLOW) -> bool:
     """Whether it takes so many times its usual time."""
-    return tells(server) and server.time() >= than * server.usual_time
+    return tells(server) and server.time_in_service() >= than * server.baseline_time
 
 
 def are_most(servers: list[Server], slow: bool, than: float) -> bool:
@@ -130,8 +132,8 @@
 
 def time(servers: Iterable[Server]) -> float:
     """The mean time in service of some servers, in aims; 0 where they have served none of late."""
-    crowd, recent = 0.0, 0.0
+    mean_calls_out, recent_aims_ms = 0.0, 0.0
     for server in servers:
-        crowd += server.crowd
-        recent += server.recent
-    return crowd * MEMORY_MS / 3 / recent if recent else 0.0
+        mean_calls_out += server.mean_calls_out
+        recent_aims_ms += server.recent_aims_ms
+    return mean_calls_out * EVIDENCE_DECAY_MS / 3 / recent_aims_ms if recent_aims_ms else 0.0
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -10,9 +10,9 @@
 import random
 from collections.abc import Iterable
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.kinds import pool_middle_half
-from umberworks.servers import MEMORY_MS, Server
+from umberworks.servers import EVIDENCE_DECAY_MS, Server
 
 SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
 MIN_CORES = 2  # that a server has: so many calls it serves beside one another at full speed
@@ -24,7 +24,7 @@
 class SlowStart:
     """Warmth by age, and the pace that it allows."""
 
-    def __init__(self, settings: face.Settings, chance: random.Random) -> None:
+    def __init__(self, settings: interface.Settings, chance: random.Random) -> None:
         self._settings, self._chance = settings, chance
         self.cold_until = 0.0  # some listed server may be cold up to then
         self.warm_rate = 0.0  # served calls a millisecond of a warm server
@@ -37,10 +37,10 @@
             server.catch_up(now)
             if self.warmth(server, now) >= 1:
                 warm.append(server.served)
-            if server.served and server.busy:
-                known.append((server.served / server.busy / server.size, server.served))
+            if server.served and server.busy_ms:
+                known.append((server.served / server.busy_ms / server.size, server.served))
         if warm:
-            self.warm_rate = sum(warm) / len(warm) / MEMORY_MS
+            self.warm_rate = sum(warm) / len(warm) / EVIDENCE_DECAY_MS
         calls, time = pool_middle_half(known)
         if calls >= LEAST_CALLS:
             self.sequential_rate = calls / time
@@ -51,7 +51,7 @@
 
     def warmth(self, server: Server, now: float) -> float:
         """The share of its capacity that a server has at the least, by its age."""
-        since = max(server.member.up_since_ms, server.back_at)
+        since = max(server.member.up_since_ms, server.reattached_at)
         age = max(now - since, 0.0)  # by clocks that disagree it may start yet
         if since <= 0 or age >= self._settings.cold_ms:
             return 1.0
@@ -71,7 +71,10 @@
         if part >= 1:
             return gap * part >= window
         # Not a call at once and then one each 1 / part windows: the first calls of all would come together.
-        if now >= server.turn_ends:
-            owed = min((now - server.turn_ends) / window + 1, MOST_OWED)
-            server.turn_ends, server.has_turn = now + window, self._chance.random() < part * owed
-        return server.has_turn and gap >= window
+        if now >= server.cold_window_ends_at:
+            owed = min((now - server.cold_window_ends_at) / window + 1, MOST_OWED)
+            server.cold_window_ends_at, server.may_send_when_cold = (
+                now + window,
+                self._chance.random() < part * owed,
+            )
+        return server.may_send_when_cold and gap >= window
