--- a/umberworks/admission.py
+++ b/umberworks/admission.py
@@ -1,85 +1,110 @@
-"""How many calls may be out at once, by their time in service (the contract: umberworks/interface.py)."""
+"""Admission control: limits the calls in flight by their time in service (contract: umberworks/interface.py).
+
+The time in service of a call is measured in aims, that is, divided by the target time of its class.
+"""
 
 from __future__ import annotations
 
 import math
 
-BASE_CALLS = 30  # served calls that make a measure of the time in service; the first find servers free
-BASE_DRIFT_MS = 100_000.0  # it rises by 1/e over this, so that a fleet that stays slower gets its room back
-RATE_DECAY_MS = 2_000.0  # smoothing of our own served rate
-FREE_PER_SERVER = 4.0  # calls out for each ready server, over all balancers, let through in any case
-LEAST_ROOM = 16.0  # calls out that a balancer lets through while calls take about as long as at best
-LEAST_FULL, LEAST_NONE = 1.5, 2.0  # time in service, in lowest ones, up to which it holds in full, or at all
-LOAD_FREE, LOAD_FULL = 0.3, 0.55  # mean time in service, in aims, from which some, from which all are refused
-LOAD_OVER_SHARE = 0.2  # a tenant past its share is held back this much sooner
-MANY_BALANCERS, LOAD_CALM = 7, 0.2  # past so many balancers, none is bounded up to so long a time in service
-LEAST_ADMITTED = 0.05  # the share let in all the same, to notice that the crowd has gone
-LOAD_PRIOR = 2.0  # calls' worth of belief that all is well, so that a few slow calls do not refuse others
+BASE_CALLS = 30  # served calls per measurement of the service time; in the first one servers are still idle
+# The base service time grows by a factor of e over this span: a fleet that stays slower regains its limit.
+BASE_DRIFT_MS = 100_000.0
+RATE_DECAY_MS = 2_000.0  # time constant of the exponential decay of this balancer's rate of served calls
+MIN_LIMIT_PER_SERVER = 4.0  # calls in flight per ready server, over all balancers, that are always admitted
+MIN_LIMIT = 16.0  # calls in flight that a balancer admits while service times stay close to the base
+# Ratio of service time to base up to which MIN_LIMIT applies in full, and from which it does not apply.
+MIN_LIMIT_FULL_RATIO, MIN_LIMIT_NONE_RATIO = 1.5, 2.0
+REFUSE_SOME_LOAD, REFUSE_ALL_LOAD = (
+    0.3,
+    0.55,
+)  # mean service time, in aims, from which some or all are refused
+OVER_QUOTA_LOAD = 0.2  # tenants over their quota are refused at a load lower by this
+# With more than MANY_BALANCERS no limit applies while the mean service time is below UNLIMITED_LOAD aims.
+MANY_BALANCERS, UNLIMITED_LOAD = 7, 0.2
+MIN_ADMIT_PROBABILITY = 0.05  # some requests are always admitted, to notice when the overload has ended
+PRIOR_CALLS = (
+    2.0  # calls without load that each estimate includes, so that a few slow calls cause no refusals
+)
 
 
 class AdmissionControl:
-    """Counts the calls out and measures how long they take, in aims of their classes."""
+    """Counts the calls in flight and measures their time in service, in aims of their classes."""
 
     def __init__(self, balancers: int) -> None:
         self._balancers = balancers
         self.in_flight = 0
-        # In memory: aims of served calls, time in flight; of the block measured: calls, aims, time, start.
-        self._served_aims_ms, self._in_flight_time_ms, self._seen = 0.0, 0.0, 0.0
-        self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, 0.0
-        self.mean_service_time, self.base_service_time = (
-            0.0,
-            0.0,
-        )  # time in service, last and lowest, in aims; 0: not measured yet
+        # Both with exponential decay: the aims of served calls, and the time that calls were in flight.
+        self._served_aims_ms, self._in_flight_time_ms, self._updated_at = 0.0, 0.0, 0.0
+        # The current measurement block: served calls, their aims, time that calls were in flight, start.
+        self._block_calls, self._block_aims_ms, self._block_time_ms, self._block_start = 0, 0.0, 0.0, 0.0
+        # The last and the lowest time in service, in aims; 0 before the first measurement.
+        self.mean_service_time, self.base_service_time = 0.0, 0.0
 
     def catch_up(self, now: float) -> None:
-        """Bring the measure to `now`: calls that are still out add time, and all of it fades."""
-        gap = now - self._seen
-        if gap > 0:
-            fade = math.exp(-gap / RATE_DECAY_MS)
-            self._served_aims_ms *= fade
-            self._in_flight_time_ms = self._in_flight_time_ms * fade + self.in_flight * RATE_DECAY_MS * (
-                1 - fade
+        """Update the measurements to `now`: add the time of the calls in flight and apply the decay."""
+        elapsed = now - self._updated_at
+        if elapsed > 0:
+            decay = math.exp(-elapsed / RATE_DECAY_MS)
+            self._served_aims_ms *= decay
+            self._in_flight_time_ms = self._in_flight_time_ms * decay + self.in_flight * RATE_DECAY_MS * (
+                1 - decay
             )
-            self._times += self.in_flight * gap
+            self._block_time_ms += self.in_flight * elapsed
+            # The exponent is capped, as the balancer may have been idle for hours.
             self.base_service_time = min(
-                self.base_service_time * math.exp(min(gap / BASE_DRIFT_MS, 1.0)), 1.0
-            )  # idle for hours
-            self._seen = now
+                self.base_service_time * math.exp(min(elapsed / BASE_DRIFT_MS, 1.0)), 1.0
+            )
+            self._updated_at = now
 
     def record_served(self, aim_ms: float, now: float) -> None:
-        """Count a served call."""
-        self._calls += 1
+        """Count a served call, and finish the measurement block if it is complete."""
+        self._block_calls += 1
         self._served_aims_ms += aim_ms
-        self._block_aims += aim_ms
-        if self._calls >= BASE_CALLS and (
-            not self.base_service_time or now - self._block_from >= RATE_DECAY_MS
+        self._block_aims_ms += aim_ms
+        if self._block_calls >= BASE_CALLS and (
+            not self.base_service_time or now - self._block_start >= RATE_DECAY_MS
         ):
-            self.mean_service_time = self._times / self._block_aims
+            self.mean_service_time = self._block_time_ms / self._block_aims_ms
             self.base_service_time = min(self.base_service_time or math.inf, self.mean_service_time)
-            self._calls, self._block_aims, self._times, self._block_from = 0, 0.0, 0.0, now
+            self._block_calls, self._block_aims_ms, self._block_time_ms, self._block_start = 0, 0.0, 0.0, now
 
     def load(self, aim_ms: float) -> float:
-        """The mean time in service as a class with this aim sees it."""
-        return self._in_flight_time_ms / (self._served_aims_ms + LOAD_PRIOR * aim_ms)
+        """The mean time in service, in aims, with a prior for a class with this aim."""
+        return self._in_flight_time_ms / (self._served_aims_ms + PRIOR_CALLS * aim_ms)
 
-    def admit_probability(self, aim_ms: float, over_share: bool) -> float:
-        """The share of its requests to let in by that."""
-        chance = (LOAD_FULL - self.load(aim_ms) - LOAD_OVER_SHARE * over_share) / (LOAD_FULL - LOAD_FREE)
-        return max(chance, LEAST_ADMITTED)
+    def admit_probability(self, aim_ms: float, over_quota: bool) -> float:
+        """The share of the requests of a class to admit at the current load."""
+        probability = (REFUSE_ALL_LOAD - self.load(aim_ms) - OVER_QUOTA_LOAD * over_quota) / (
+            REFUSE_ALL_LOAD - REFUSE_SOME_LOAD
+        )
+        return max(probability, MIN_ADMIT_PROBABILITY)
 
     def limit(self, ready: int) -> float:
-        """How many calls may be out: past its capacity a server only queues, a crowded one slows down."""
-        if self._balancers > MANY_BALANCERS and self._in_flight_time_ms < LOAD_CALM * self._served_aims_ms:
+        """How many calls may be in flight with so many ready servers.
+
+        More calls than a server's capacity only queue there, and a server that holds too many slows down.
+        """
+        if (
+            self._balancers > MANY_BALANCERS
+            and self._in_flight_time_ms < UNLIMITED_LOAD * self._served_aims_ms
+        ):
             return math.inf
-        ours = ready / self._balancers
-        # A factor in place of the sum would let the room shrink away once calls take longer than it allows.
-        queued = ours + self.base_service_time * self._served_aims_ms / RATE_DECAY_MS
-        lowest = self.base_service_time * self._served_aims_ms
-        slower = self._in_flight_time_ms / lowest if lowest else 1.0
-        calm = min(max((LEAST_NONE - slower) / (LEAST_NONE - LEAST_FULL), 0.0), 1.0)
-        least = calm * min(LEAST_ROOM, FREE_PER_SERVER * ready)
-        room = max(FREE_PER_SERVER * ours, queued, least)
-        # A burst may pass, a standing crowd does harm: the room bounds the mean once it has been measured.
+        servers_per_balancer = ready / self._balancers
+        # One queued call per server on top of the calls in service at the base service time. With a factor
+        # instead of this sum the limit would keep shrinking once calls take longer than the factor allows.
+        with_queue = servers_per_balancer + self.base_service_time * self._served_aims_ms / RATE_DECAY_MS
+        base_time_ms = self.base_service_time * self._served_aims_ms
+        slowdown = self._in_flight_time_ms / base_time_ms if base_time_ms else 1.0
+        min_limit_share = min(
+            max((MIN_LIMIT_NONE_RATIO - slowdown) / (MIN_LIMIT_NONE_RATIO - MIN_LIMIT_FULL_RATIO), 0.0), 1.0
+        )
+        min_limit = min_limit_share * min(MIN_LIMIT, MIN_LIMIT_PER_SERVER * ready)
+        mean_limit = max(MIN_LIMIT_PER_SERVER * servers_per_balancer, with_queue, min_limit)
+        # Bursts do no harm, sustained overload does: once the base is known, `mean_limit` bounds the mean
+        # number of calls in flight, and a burst may reach twice that.
         return (
-            2 * room - min(self._in_flight_time_ms / RATE_DECAY_MS, room) if self.base_service_time else room
+            2 * mean_limit - min(self._in_flight_time_ms / RATE_DECAY_MS, mean_limit)
+            if self.base_service_time
+            else mean_limit
         )
