--- a/umberworks/concurrency.py
+++ b/umberworks/concurrency.py
@@ -1,50 +1,59 @@
-"""How many calls a server may hold at full speed (the contract: umberworks/interface.py).
+"""Limits the calls in flight at each server, so that it keeps its speed (contract: umberworks/interface.py).
 
-A server that holds too many turns slower, some of them by far and until they have been idle for a while; a
-fleet that is kept there serves a part of what it could, and refused callers who come back at once keep it
-there. So calls pile up here, where they are answered early, and not at the servers.
+A server that holds too many calls slows down; some slow down a lot, and stay slow until they have been idle
+for a while. A fleet that is kept in that state serves only a part of what it could, and refused callers
+that retry at once keep it there. So calls queue in the balancer, which answers them early, and not at the
+servers.
 """
 
 from __future__ import annotations
 
 from umberworks.servers import Server
 
-# A measure is the mean of so many calls over so long: of fewer, one long call would decide.
+# A measurement is the mean over at least this many calls and this much time; with fewer calls one long call
+# would dominate it.
 BLOCK_CALLS, BLOCK_MS = 30, 500.0
-MIN_CALLS_PER_SERVER = 7.0  # calls that any server is taken to carry, over all balancers
-NEAR = 0.7  # of what it may hold, from which a server shows what it carries
-# Tried where a server kept its speed; a machine of 32 cores is filled within some 4 s.
+MIN_CALLS_PER_SERVER = 7.0  # calls in flight that every server is assumed to handle, over all balancers
+NEAR_LIMIT = 0.7  # share of its limit that a server has to hold for a measurement to show what it handles
+# Where a server kept its speed, its limit becomes this multiple of the calls that it held. That reaches the
+# capacity of a machine of 32 cores within about 4 s.
 GROWTH_FACTOR = 1.4
-KEPT, LOST = (
-    1.2,
-    2.5,
-)  # usual times in service up to which it kept its speed, and from which it holds too many
-SHRINK = 0.8
-EASE = 1.02  # after it was choked, with each measure in which it keeps its speed
-DOWN, UP = 0.3, 0.03  # how fast the usual time follows shorter and longer ones: it stays near the short ones
+# Ratio of service time to usual service time up to which a server kept its speed, and above which it holds
+# too many calls.
+KEPT_SPEED_RATIO, OVERLOADED_RATIO = 1.2, 2.5
+SHRINK_FACTOR = 0.8
+# Growth of a ceiling, set after congestion, with each measurement in which the server kept its speed.
+CEILING_GROWTH_FACTOR = 1.02
+# Smoothing factors of the usual service time, towards shorter and longer times: it stays near the short ones.
+SMOOTHING_DOWN, SMOOTHING_UP = 0.3, 0.03
 
 
 class ConcurrencyLimits:
-    """Which servers may take one more call."""
+    """Decides which servers may get one more call."""
 
     def __init__(self, balancers: int, calling_tier: int = 0) -> None:
         self.min_limit = MIN_CALLS_PER_SERVER / balancers
-        # Of many balancers each has a call at a server or none, which says nothing of how many it holds.
-        # Inner tiers let all in: a refusal there wastes what the tiers above have done. No measure is kept.
+        # With many balancers each has one call or none at a server, which does not show how many it holds.
+        # Inner tiers admit every call: a refusal there wastes the work of the tiers above. Nothing is
+        # measured in either case.
         self.enabled = self.min_limit >= 1 and calling_tier == 0
 
     def limit(self, server: Server) -> float:
-        """How many of our calls it may hold in the mean."""
+        """The limit on the mean number of calls that this balancer has in flight at a server."""
         return min(max(server.carries, self.min_limit), server.ceiling)
 
     def admits(self, server: Server, now: float) -> bool:
-        """Whether it can take a call: its mean stays under what it may hold, and bursts too but for one."""
+        """Whether a server may get another call.
+
+        Both the mean and the current number of calls in flight have to be below the limit, so that a burst
+        exceeds it by less than one call. A server without calls always gets one.
+        """
         server.catch_up(now)
-        most = self.limit(server)
-        return not server.live or (server.live < most and server.crowd < most)
+        limit = self.limit(server)
+        return not server.live or (server.live < limit and server.crowd < limit)
 
     def record_served(self, server: Server, aim_ms: float, now: float) -> None:
-        """Count a served call; with a whole measure, note what the server carries."""
+        """Count a served call; when that completes a measurement, update the server's limit."""
         if not self.enabled:
             return
         server.recent += aim_ms
@@ -54,14 +63,17 @@
         span = now - server.block_from
         if server.block_calls < BLOCK_CALLS or span < BLOCK_MS:
             return
-        time, held = server.block_times / server.block_aims, server.block_times / span
+        service_time, in_flight = server.block_times / server.block_aims, server.block_times / span
         server.block_calls, server.block_aims, server.block_times, server.block_from = 0, 0.0, 0.0, now
-        usual = server.usual_time or time
-        most = self.limit(server)
-        if time > LOST * usual:
-            server.carries = SHRINK * most
-        elif time <= KEPT * usual and held >= NEAR * most:
-            server.carries = GROWTH_FACTOR * held
-            server.ceiling *= EASE
-        if time < LOST * usual:  # else something is wrong with it: the usual time stands meanwhile
-            server.usual_time = usual + (DOWN if time < usual else UP) * (time - usual)
+        usual_time = server.usual_time or service_time
+        limit = self.limit(server)
+        if service_time > OVERLOADED_RATIO * usual_time:
+            server.carries = SHRINK_FACTOR * limit
+        elif service_time <= KEPT_SPEED_RATIO * usual_time and in_flight >= NEAR_LIMIT * limit:
+            server.carries = GROWTH_FACTOR * in_flight
+            server.ceiling *= CEILING_GROWTH_FACTOR
+        # While the server is overloaded or faulty, its usual time stays as it is.
+        if service_time < OVERLOADED_RATIO * usual_time:
+            server.usual_time = usual_time + (
+                SMOOTHING_DOWN if service_time < usual_time else SMOOTHING_UP
+            ) * (service_time - usual_time)
