--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -1,8 +1,9 @@
-"""How much a server that has started lately may be sent (the contract: umberworks/interface.py).
+"""Limits the calls to servers that have started lately (the contract: umberworks/interface.py).
 
-The rule's budget is one for all balancers, which hear of a start at one moment. A balancer whose part of it
-is under one call a window draws, for each window, whether it may send one: together they send what the budget
-has, at differing times, and a balancer that had no request to send is owed little later.
+The contract gives each cold server one budget of calls per window for all balancers together, and all
+balancers learn of a start at the same moment. A balancer whose part of the budget is below one call per
+window draws at random, for each window, whether it may send one. Together the balancers then use the
+budget, at different times, and a balancer that had no request to send saves up few calls for later.
 """
 
 from __future__ import annotations
@@ -14,64 +15,71 @@
 from umberworks.kinds import pool_middle_half
 from umberworks.servers import MEMORY_MS, Server
 
-SAFETY = 0.5  # the part of a cold server's budget that we use: other balancers and heavy calls count too
-MIN_CORES = 2  # that a server has: so many calls it serves beside one another at full speed
-LEAST_CALLS = 4.0  # in memory, to tell how fast a server is
-MOST_OWED = 2.0  # windows' worth of calls that a balancer saves up: all balancers' may come at once
-LEAST_BUDGET = 3.0  # calls in a window that the rule lets pass, however little a server can do
+BUDGET_SHARE = 0.5  # share of a cold server's budget to use, as other balancers and expensive calls count too
+MIN_CORES = 2  # every server is assumed to serve this many calls in parallel at full speed
+MIN_CALLS = 4.0  # served calls, after decay, that it takes to estimate the speed of servers
+MAX_SAVED_WINDOWS = (
+    2.0  # windows whose calls a balancer may save up, as those of all balancers may come at once
+)
+MIN_BUDGET_CALLS = 3.0  # calls per window that the contract allows however small the server's capacity
 
 
 class SlowStart:
-    """Warmth by age, and the pace that it allows."""
+    """The warmth of servers by their age, and the rate of calls that it allows."""
 
-    def __init__(self, settings: face.Settings, chance: random.Random) -> None:
-        self._settings, self._chance = settings, chance
-        self.cold_until = 0.0  # some listed server may be cold up to then
-        self.warm_rate = 0.0  # served calls a millisecond of a warm server
-        self.sequential_rate = 0.0  # calls/ms that a warm server completes one after the other
+    def __init__(self, settings: face.Settings, rng: random.Random) -> None:
+        self._settings, self._random = settings, rng
+        self.cold_until = 0.0  # no listed server is cold after this time
+        self.warm_rate = 0.0  # calls per ms that a warm server serves for this balancer, in the mean
+        # Rate at which a warm server of size 1 completes calls one after the other, in calls per ms.
+        self.sequential_rate = 0.0
 
     def update(self, servers: Iterable[Server], now: float) -> None:
-        """Measure what warm servers serve, and how fast any would when it is warm."""
-        warm, known = [], []
+        """Measure the rate of warm servers, and the speed that servers have when they are warm."""
+        warm_calls, speeds = [], []
         for server in servers:
             server.catch_up(now)
             if self.warmth(server, now) >= 1:
-                warm.append(server.served)
+                warm_calls.append(server.served)
             if server.served and server.busy:
-                known.append((server.served / server.busy / server.size, server.served))
-        if warm:
-            self.warm_rate = sum(warm) / len(warm) / MEMORY_MS
-        calls, time = pool_middle_half(known)
-        if calls >= LEAST_CALLS:
-            self.sequential_rate = calls / time
+                speeds.append((server.served / server.busy / server.size, server.served))
+        if warm_calls:
+            self.warm_rate = sum(warm_calls) / len(warm_calls) / MEMORY_MS
+        calls, time_ms = pool_middle_half(speeds)
+        if calls >= MIN_CALLS:
+            self.sequential_rate = calls / time_ms
 
     def note_start(self, at: float) -> None:
-        """A server has started."""
+        """Note that a server has started at this time."""
         self.cold_until = max(self.cold_until, at + self._settings.cold_ms)
 
     def warmth(self, server: Server, now: float) -> float:
-        """The share of its capacity that a server has at the least, by its age."""
-        since = max(server.member.up_since_ms, server.back_at)
-        age = max(now - since, 0.0)  # by clocks that disagree it may start yet
-        if since <= 0 or age >= self._settings.cold_ms:
+        """The share of its full capacity that a server of this age has at least."""
+        started_at = max(server.member.up_since_ms, server.back_at)
+        age = max(now - started_at, 0.0)  # clocks may differ, so that the start may lie in the future
+        if started_at <= 0 or age >= self._settings.cold_ms:
             return 1.0
         start = self._settings.cold_from
         return start + (1 - start) * age / self._settings.cold_ms
 
     def admits(self, server: Server, now: float) -> bool:
-        """Whether a cold server can take a call: evenly spaced, as bursts and roundings of many add up."""
+        """Whether a server may get another call; true for warm servers.
+
+        Calls to a cold server are spaced evenly, as the bursts and roundings of many balancers add up.
+        """
         warmth = self.warmth(server, now)
         if warmth >= 1:
             return True
-        window, balancers = self._settings.cold_window_ms, self._settings.balancers
+        window_ms, balancers = self._settings.cold_window_ms, self._settings.balancers
         rate = max(self.warm_rate, MIN_CORES * self.sequential_rate * server.size / balancers)
-        budget = SAFETY * self._settings.cold_overload_factor * warmth * rate * window
-        part = max(budget, min(LEAST_BUDGET / balancers, 1.0))
-        gap = now - server.last_sent
-        if part >= 1:
-            return gap * part >= window
-        # Not a call at once and then one each 1 / part windows: the first calls of all would come together.
+        budget = BUDGET_SHARE * self._settings.cold_overload_factor * warmth * rate * window_ms
+        own_budget = max(budget, min(MIN_BUDGET_CALLS / balancers, 1.0))
+        since_last_ms = now - server.last_sent
+        if own_budget >= 1:
+            return since_last_ms * own_budget >= window_ms
+        # One call at once and then one every 1 / own_budget windows would exceed the budget, as the
+        # first calls of all balancers would come together.
         if now >= server.turn_ends:
-            owed = min((now - server.turn_ends) / window + 1, MOST_OWED)
-            server.turn_ends, server.has_turn = now + window, self._chance.random() < part * owed
-        return server.has_turn and gap >= window
+            windows = min((now - server.turn_ends) / window_ms + 1, MAX_SAVED_WINDOWS)
+            server.turn_ends, server.has_turn = now + window_ms, self._random.random() < own_budget * windows
+        return server.has_turn and since_last_ms >= window_ms
