--- a/umberworks/handover.py
+++ b/umberworks/handover.py
@@ -1,4 +1,4 @@
-"""What one version hands on to the next: evidence, not decisions (the contract: umberworks/interface.py)."""
+"""Hands measurements, no decisions, to the next version (the contract: umberworks/interface.py)."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from umberworks.admission import AdmissionControl
 from umberworks.servers import Server
 
-MOST = 4_096  # servers told of, those with the most evidence: more would hold up requests for over 10 ms
+MAX_SERVERS = 4_096  # exported, with the most served calls; more would delay requests by over 10 ms
 
 
-def export_state(room: AdmissionControl, servers: Iterable[Server], now: float) -> face.Inherited:
-    """What is known now."""
-    known = []
+def export_state(admission: AdmissionControl, servers: Iterable[Server], now: float) -> face.Inherited:
+    """What this version has measured up to `now`."""
+    measured = []
     for server in servers:
         server.catch_up(now)
         if server.served or server.usual_time:
-            known.append(server)
-    known.sort(key=lambda s: -s.served)
+            measured.append(server)
+    measured.sort(key=lambda s: -s.served)
     return face.Inherited(
-        room.base_service_time,
+        admission.base_service_time,
         tuple(
             face.Known(
                 s.member.server,
@@ -31,25 +31,25 @@
                 s.carries,
                 s.ceiling,
             )
-            for s in known[:MOST]
+            for s in measured[:MAX_SERVERS]
         ),
     )
 
 
 class Handover:
-    """What was handed to this version, until each server that it tells of is listed."""
+    """The measurements of the version before, each kept until its server is listed."""
 
     def __init__(self) -> None:
         self._known: dict[str, face.Known] = {}
 
-    def load(self, event: face.Inherited, room: AdmissionControl) -> None:
-        """Believe it where nothing better is known."""
-        if not room.base_service_time and event.base:
-            room.base_service_time = room.mean_service_time = event.base
+    def load(self, event: face.Inherited, admission: AdmissionControl) -> None:
+        """Take over the measurements, and the base service time if there is no own one yet."""
+        if not admission.base_service_time and event.base:
+            admission.base_service_time = admission.mean_service_time = event.base
         self._known = {k.server: k for k in event.servers}
 
     def apply(self, server: Server) -> None:
-        """Tell a server what was known of its process, unless it has shown something itself."""
+        """Give a server the measurements of the same process, unless it has served calls of this version."""
         known = self._known.pop(server.member.server, None) if self._known else None
         if known is None or known.since_ms != server.member.up_since_ms or server.served:
             return
