--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -1,7 +1,8 @@
-"""How fast servers of a kind are, beside all others (the contract: umberworks/interface.py).
+"""Measures how fast the servers of a kind are compared with all servers (contract: umberworks/interface.py).
 
-Of a large fleet a balancer sees a call now and then at each server, which tells little of any of them. The
-servers of a kind have shown enough together: a new one, and one of few calls, is taken to be as fast.
+In a large fleet a balancer sees few calls at each server, which say little about any one of them. The
+servers of a kind have served enough calls together: a new server, or one with few calls, is assumed to be
+as fast as they are.
 """
 
 from __future__ import annotations
@@ -13,64 +14,72 @@
 from umberworks import interface as face
 from umberworks.servers import MEMORY_MS, Server
 
-LONG_MS = 60_000.0  # what a kind has shown fades by 1/e over this: a kind stays what it is
-PRIOR_CALLS = 8.0  # calls' worth of belief that a kind is as fast as all; single calls differ by a lot
-MOVED = 0.15  # a change of so large a part is worth to set the draws anew
-ALL = "\0"  # no kind is named like this
+DECAY_MS = 60_000.0  # measurements of a kind decay by a factor of e over this span: a kind rarely changes
+PRIOR_CALLS = (
+    8.0  # weight, in calls, of the assumption that a kind is as fast as all: single calls vary a lot
+)
+MIN_CHANGE = (
+    0.15  # relative change of a kind's speed that is worth updating the sizes that servers are drawn by
+)
+ALL_KINDS = "\0"  # key for all servers; no kind has this name
 
 
 class KindSpeeds:
-    """The sizes that servers are drawn by until they have shown their own speed."""
+    """The sizes of servers, relative capacities, that apply until a server's own speed has been measured."""
 
     def __init__(self, sizes_exact: bool) -> None:
-        self._exact = sizes_exact
+        self._sizes_exact = sizes_exact
         self._factors: dict[str, float] = {}
-        self._shown: dict[str, tuple[float, float]] = {}  # of each kind: calls, and the time that they took
-        self._seen = 0.0
+        self._measured: dict[str, tuple[float, float]] = {}  # per kind: calls, and their total time
+        self._updated_at = 0.0
 
     def listed_size(self, member: face.Member) -> float:
-        """What the list says of a server's size."""
-        return member.size if self._exact else 1.0
+        """The size of a server according to the list; 1 where the list's sizes are not exact."""
+        return member.size if self._sizes_exact else 1.0
 
     def estimated_size(self, member: face.Member) -> float:
-        """That, by what its kind has shown."""
+        """The listed size times the measured speed factor of the server's kind."""
         return self.listed_size(member) * self._factors.get(member.kind, 1.0)
 
     def set_size(self, server: Server) -> None:
-        """Set a server's size by it."""
+        """Set a server's size to the estimate."""
         server.size = self.estimated_size(server.member)
 
     def update(self, servers: Iterable[Server], now: float) -> bool:
-        """Look at what servers have shown up to `now`; whether some size has changed by it."""
-        gap, self._seen = now - self._seen, now
-        fade = math.exp(-gap / LONG_MS)
-        known: Mapping[str, list[tuple[float, float]]] = defaultdict(list)
+        """Add the measurements of the servers up to `now`; returns whether the size of a kind has changed."""
+        elapsed, self._updated_at = now - self._updated_at, now
+        decay = math.exp(-elapsed / DECAY_MS)
+        speeds: Mapping[str, list[tuple[float, float]]] = defaultdict(list)
         for server in servers:
             if server.served and server.busy:
                 speed = server.served / server.busy / self.listed_size(server.member)
-                for kind in (server.member.kind, ALL):
-                    known[kind].append((speed, server.served))
-        for kind in {*known, *self._shown}:
-            calls, time = self._shown.get(kind, (0.0, 0.0))
-            more, took = pool_middle_half(known.get(kind, []))
-            part = min(gap / MEMORY_MS, 1.0)  # the rest of it was there at the last look
-            self._shown[kind] = calls * fade + more * part, time * fade + took * part
-        moved, (all_calls, all_time) = False, self._shown.get(ALL, (0.0, 0.0))
-        if len(self._shown) <= 2 or not all_time:  # all are of one kind, or none is told
+                for kind in (server.member.kind, ALL_KINDS):
+                    speeds[kind].append((speed, server.served))
+        for kind in {*speeds, *self._measured}:
+            calls, time_ms = self._measured.get(kind, (0.0, 0.0))
+            new_calls, new_time_ms = pool_middle_half(speeds.get(kind, []))
+            new_share = min(elapsed / MEMORY_MS, 1.0)  # the last update has counted the rest
+            self._measured[kind] = (
+                calls * decay + new_calls * new_share,
+                time_ms * decay + new_time_ms * new_share,
+            )
+        changed, (all_calls, all_time_ms) = False, self._measured.get(ALL_KINDS, (0.0, 0.0))
+        if len(self._measured) <= 2 or not all_time_ms:  # a single kind, or nothing measured
             return False
-        usual = all_calls / all_time
-        for kind, (calls, time) in self._shown.items():
-            factor = (calls + PRIOR_CALLS) / (time * usual + PRIOR_CALLS)
-            if abs(factor / self._factors.get(kind, 1.0) - 1) > MOVED and kind != ALL:
-                self._factors[kind], moved = factor, True
-        return moved
+        mean_speed = all_calls / all_time_ms
+        for kind, (calls, time_ms) in self._measured.items():
+            factor = (calls + PRIOR_CALLS) / (time_ms * mean_speed + PRIOR_CALLS)
+            if abs(factor / self._factors.get(kind, 1.0) - 1) > MIN_CHANGE and kind != ALL_KINDS:
+                self._factors[kind], changed = factor, True
+        return changed
 
 
-def pool_middle_half(known: list[tuple[float, float]]) -> tuple[float, float]:
-    """Calls, and their time, of the middle half of some servers, given by speed and calls.
+def pool_middle_half(speeds: list[tuple[float, float]]) -> tuple[float, float]:
+    """The calls, and their total time, of the middle half of some servers by speed.
 
-    Of few calls each most are far off, and one that hangs must not stand for all.
+    `speeds`: the speed and the calls of each server; the list is sorted in place. With few calls each, most
+    speeds are far off, and a server that hangs must not decide the result for all.
     """
-    known.sort()
-    middle = known[len(known) // 4 : len(known) - len(known) // 4]
+    speeds.sort()
+    middle = speeds[len(speeds) // 4 : len(speeds) - len(speeds) // 4]
     return sum(calls for _, calls in middle), sum(calls / speed for speed, calls in middle)
