--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -15,12 +15,10 @@
 from umberworks.servers import MEMORY_MS, Server
 
 DECAY_MS = 60_000.0  # measurements of a kind decay by a factor of e over this span: a kind rarely changes
-PRIOR_CALLS = (
-    8.0  # weight, in calls, of the assumption that a kind is as fast as all: single calls vary a lot
-)
-MIN_CHANGE = (
-    0.15  # relative change of a kind's speed that is worth updating the sizes that servers are drawn by
-)
+# Weight, in calls, of the assumption that a kind is as fast as all servers: single calls vary a lot.
+PRIOR_CALLS = 8.0
+# Relative change of a kind's speed from which the sizes that servers are drawn by are updated.
+MIN_CHANGE = 0.15
 ALL_KINDS = "\0"  # key for all servers; no kind has this name
 
 
