--- a/umberworks/admission.py
+++ b/umberworks/admission.py
@@ -15,17 +15,14 @@
 MIN_LIMIT = 16.0  # calls in flight that a balancer admits while service times stay close to the base
 # Ratio of service time to base up to which MIN_LIMIT applies in full, and from which it does not apply.
 MIN_LIMIT_FULL_RATIO, MIN_LIMIT_NONE_RATIO = 1.5, 2.0
-REFUSE_SOME_LOAD, REFUSE_ALL_LOAD = (
-    0.3,
-    0.55,
-)  # mean service time, in aims, from which some or all are refused
+# Mean service time, in aims, from which some requests are refused, and from which all are.
+REFUSE_SOME_LOAD, REFUSE_ALL_LOAD = 0.3, 0.55
 OVER_QUOTA_LOAD = 0.2  # tenants over their quota are refused at a load lower by this
 # With more than MANY_BALANCERS no limit applies while the mean service time is below UNLIMITED_LOAD aims.
 MANY_BALANCERS, UNLIMITED_LOAD = 7, 0.2
 MIN_ADMIT_PROBABILITY = 0.05  # some requests are always admitted, to notice when the overload has ended
-PRIOR_CALLS = (
-    2.0  # calls without load that each estimate includes, so that a few slow calls cause no refusals
-)
+# The load includes this many calls that took no time, so that a few slow calls cause no refusals.
+PRIOR_CALLS = 2.0
 
 
 class AdmissionControl:
--- a/umberworks/slow_start.py
+++ b/umberworks/slow_start.py
@@ -18,9 +18,8 @@
 BUDGET_SHARE = 0.5  # share of a cold server's budget to use, as other balancers and expensive calls count too
 MIN_CORES = 2  # every server is assumed to serve this many calls in parallel at full speed
 MIN_CALLS = 4.0  # served calls, after decay, that it takes to estimate the speed of servers
-MAX_SAVED_WINDOWS = (
-    2.0  # windows whose calls a balancer may save up, as those of all balancers may come at once
-)
+# Windows whose calls a balancer may save up; few, as the saved calls of all balancers may come at once.
+MAX_SAVED_WINDOWS = 2.0
 MIN_BUDGET_CALLS = 3.0  # calls per window that the contract allows however small the server's capacity
 
 
