--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -18,7 +18,7 @@
 from passpost.rehearsal.stage import listen
 from tests.helpers import Desk, settings
 from tests.loopback import listing, member
-from tests.virtual import simulated
+from tests.virtual import run_simulated
 from umberworks.interface import (
     Action,
     Event,
@@ -73,7 +73,7 @@
         await asyncio.sleep(seconds)
         discovery.stop()
 
-    simulated(main)
+    run_simulated(main)
     return heard
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -37,7 +37,7 @@
     silent,
     until,
 )
-from tests.virtual import simulated
+from tests.virtual import run_simulated
 from umberworks.interface import ListKind, Readiness
 
 
@@ -514,7 +514,7 @@
             await asyncio.sleep(0.01)
         marks.append(loop.time())
 
-    simulated(main)
+    run_simulated(main)
     taken, over = marks
     assert taken >= 0.45 and over <= 0.8
 
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -19,7 +19,7 @@
 from passpost.rehearsal.stage import listen
 from tests.helpers import Desk
 from tests.loopback import listing, member
-from tests.virtual import simulated
+from tests.virtual import run_simulated
 from umberworks.interface import ListKind, ListMoved, ListUpdate, Readiness, SetTimer, Subscribe, TimerDue
 
 PLACES = (("10.0.0.1", 8500), ("10.0.0.2", 8500))
@@ -168,7 +168,7 @@
         await running
         follower.discovery.stop()
 
-    simulated(main)
+    run_simulated(main)
     return kept[0]
 
 
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.stage import listen
 from passpost.streams import LONG
 from tests.loopback import config_data, member
-from tests.virtual import simulated
+from tests.virtual import run_simulated
 
 Piece = tuple[float, bytes]  # seconds after the one before
 
@@ -75,7 +75,7 @@
         node.discovery.stop()
         node.upstreams.stop()
 
-    simulated(main)
+    run_simulated(main)
     return got[0]
 
 
