--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -1,4 +1,4 @@
-"""Calls for the list: none is given up while its answer may come, and the next is never due too late."""
+"""Calls for the server list: answers are awaited long enough, and the next call is never due too late."""
 
 from __future__ import annotations
 
@@ -33,129 +33,136 @@
 )
 from umberworks.list_backoff import ListBackoff
 
-PLACE = ("10.0.0.1", 8500)
+DISCOVERY_ADDRESS = ("10.0.0.1", 8500)
 
 
-class Late(asyncio.Protocol):
-    """Discovery that answers its calls in order, each so many seconds after it came; a watch stays open."""
+class SlowDiscovery(asyncio.Protocol):
+    """A discovery that answers its calls in order, each with a delay in seconds; a watch stays unanswered."""
 
     def __init__(self, *answers: tuple[float, dict[str, Any]]) -> None:
-        self.answers, self.got = list(answers), 0
+        self.answers, self.calls = list(answers), 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.got += 1
+        self.calls += 1
         if self.answers:
-            after, content = self.answers.pop(0)
-            asyncio.get_running_loop().call_later(after, self._answer, json.dumps(content).encode())
+            delay_s, content = self.answers.pop(0)
+            asyncio.get_running_loop().call_later(delay_s, self._answer, json.dumps(content).encode())
 
     def _answer(self, body: bytes) -> None:
         assert isinstance(self.transport, SimTransport)
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def hears(after: float, ask_within: float = 10.0, seconds: float = 30.0) -> list[tuple[float, ListUpdate]]:
-    """What is told, and when, by a discovery that answers a call for the whole list so late: server a leaves."""
-    heard: list[tuple[float, ListUpdate]] = []
-    news = listing(2, member("a", "127.0.0.1:1", "leaving"), member("b", "127.0.0.1:2"))
+def received_updates(
+    answer_delay_s: float, ask_within_s: float = 10.0, run_s: float = 30.0
+) -> list[tuple[float, ListUpdate]]:
+    """The list updates, and when they arrive, if discovery answers with this delay that server a is leaving."""
+    updates: list[tuple[float, ListUpdate]] = []
+    answer = listing(2, member("a", "127.0.0.1:1", "leaving"), member("b", "127.0.0.1:2"))
 
     async def main(loop: SimLoop, net: Network) -> None:
         def tell(update: ListUpdate, addresses: dict[str, Address]) -> None:
-            heard.append((loop.time(), update))
+            updates.append((loop.time(), update))
 
-        place = Late((after, news))
-        loop.spawn("discovery", lambda: listen(SimHost(net), PLACE, lambda: place))
-        discovery = Discovery(PLACE, None, ask_within=ask_within, monotonic=loop.time)
+        server = SlowDiscovery((answer_delay_s, answer))
+        loop.spawn("discovery", lambda: listen(SimHost(net), DISCOVERY_ADDRESS, lambda: server))
+        discovery = Discovery(DISCOVERY_ADDRESS, None, ask_within=ask_within_s, monotonic=loop.time)
         discovery.start(tell)
         discovery.subscribe()
-        await asyncio.sleep(seconds)
+        await asyncio.sleep(run_s)
         discovery.stop()
 
     run_simulated(main)
-    return heard
+    return updates
 
 
-@pytest.mark.parametrize("after", [0.1, 1.99, 2.0, 2.05, 3.5, 5.9])
-def test_what_discovery_writes_at_the_end_of_its_own_patience_is_heard(after: float) -> None:
-    # It counts as told once it is written. With a wait of 2 s, discovery's own, the last answers went unheard.
-    heard = hears(after)
-    assert [update.kind for _, update in heard][:2] == [ListKind.SAVED, ListKind.WHOLE]
-    at, update = heard[1]
+@pytest.mark.parametrize("delay_s", [0.1, 1.99, 2.0, 2.05, 3.5, 5.9])
+def test_slow_answer_of_discovery_is_received(delay_s: float) -> None:
+    # A change counts as known once discovery has written its answer. With a time-out of 2 s, the same as
+    # discovery's own, the latest answers were missed.
+    updates = received_updates(delay_s)
+    assert [update.kind for _, update in updates][:2] == [ListKind.SAVED, ListKind.WHOLE]
+    at, update = updates[1]
     assert [m.readiness for m in update.members] == [Readiness.DRAINING, Readiness.READY]
-    assert at == pytest.approx(after, abs=0.02)
+    assert at == pytest.approx(delay_s, abs=0.02)
 
 
-def test_a_call_that_stays_silent_counts_from_when_it_was_made() -> None:
-    # It is overdue after 2.5 s, when the second is made beside it; that one's failure is told, and nothing before.
-    at, update = hears(after=1_000.0)[1]
+def test_unanswered_call_counts_from_when_it_was_made() -> None:
+    # The call is overdue after 2.5 s, and a second one is made in parallel. Only the failure of the second
+    # one is reported.
+    at, update = received_updates(answer_delay_s=1_000.0)[1]
     assert update.kind is ListKind.FAILED
     assert update.unheard_ms == pytest.approx(6_000, abs=10)
     assert at == pytest.approx(8.5, abs=0.02)
 
 
-def test_where_calls_are_due_soon_one_is_not_waited_for_that_long() -> None:
-    assert hears(after=2.4, ask_within=3.0)[1][1].kind is ListKind.WHOLE
-    at, update = hears(after=1_000.0, ask_within=5.0)[1]
+def test_answer_is_awaited_for_less_time_where_calls_are_due_soon() -> None:
+    assert received_updates(answer_delay_s=2.4, ask_within_s=3.0)[1][1].kind is ListKind.WHOLE
+    at, update = received_updates(answer_delay_s=1_000.0, ask_within_s=5.0)[1]
     assert update.kind is ListKind.FAILED and at == pytest.approx(2.5 + 3.0, abs=0.02)
-    assert update.unheard_ms == pytest.approx(3_000, abs=10)  # the next is due 5 s after the second was made
+    # The next call is due 5 s after the second one was made.
+    assert update.unheard_ms == pytest.approx(3_000, abs=10)
 
 
 @given(
-    within=st.floats(3_000, 20_000),
+    within_ms=st.floats(3_000, 20_000),
     balancers=st.integers(1, 1_024),
     seed=st.integers(0, 1_000),
-    unheard=st.lists(st.floats(0, 1), min_size=1, max_size=12),
+    unheard_shares=st.lists(st.floats(0, 1), min_size=1, max_size=12),
 )
-def test_the_next_call_is_made_before_the_last_that_counts_is_too_long_ago(
-    within: float, balancers: int, seed: int, unheard: list[float]
+def test_delays_end_within_the_limit_after_the_last_counted_call(
+    within_ms: float, balancers: int, seed: int, unheard_shares: list[float]
 ) -> None:
-    asking = ListBackoff(settings(balancers=balancers, ask_within_ms=within), random.Random(seed))
-    assert asking.initial_delay() <= within / 2
-    for share in unheard:
-        assert share * within + asking.retry_delay(share * within) <= within or share >= 0.95
-
-
-class Judge:
-    """The rule from outside: how long ago a balancer last watched or asked, and what may be by then."""
-
-    def __init__(self, within: float, balancers: int, seed: int) -> None:
-        self.within, self.now = within, 1_000.0
-        self.desk = Desk(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within)
-        self.counted, self.times = self.now, 1
-        self.due: list[float] = []
-        self.asked = False  # a call is out
-        self.hear(self.desk.log)
-
-    def hear(self, actions: list[Action]) -> None:
+    backoff = ListBackoff(settings(balancers=balancers, ask_within_ms=within_ms), random.Random(seed))
+    assert backoff.initial_delay() <= within_ms / 2
+    for share in unheard_shares:
+        assert share * within_ms + backoff.retry_delay(share * within_ms) <= within_ms or share >= 0.95
+
+
+class CallDeadline:
+    """Runs a balancer and checks that each call for the list is made in time after the last one that counts."""
+
+    def __init__(self, within_ms: float, balancers: int, seed: int) -> None:
+        self.within_ms, self.now = within_ms, 1_000.0
+        self.desk = Desk(2, seed, balancers=balancers, list_is_asked=True, ask_within_ms=within_ms)
+        # When the balancer last watched or asked, and how many times `within_ms` may pass from then to the
+        # next call.
+        self.last_counted, self.spans = self.now, 1
+        self.timers: list[float] = []
+        self.calling = False  # a call is out
+        self.take(self.desk.log)
+
+    def take(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetTimer) and action.token == "list":
-                self.due.append(action.at_ms)
+                self.timers.append(action.at_ms)
             elif isinstance(action, Subscribe):
-                self.asked, self.counted, self.times = True, self.now, 1
+                self.calling, self.last_counted, self.spans = True, self.now, 1
 
     def tell(self, event: Event) -> None:
         self.desk.now = self.now
-        self.hear(self.desk.tell(event))
-
-    def wait_for_the_call(self) -> None:
-        while not self.asked:
-            assert self.due, "nothing is planned: the list is never asked for again"
-            self.now = max(min(self.due), self.now)
-            self.due.remove(min(self.due))
-            last, times = self.counted, self.times
+        self.take(self.desk.tell(event))
+
+    def run_until_call(self) -> None:
+        while not self.calling:
+            assert self.timers, "no timer is set: the list is never asked for again"
+            self.now = max(min(self.timers), self.now)
+            self.timers.remove(min(self.timers))
+            last, spans = self.last_counted, self.spans
             self.tell(TimerDue("list"))
-            assert self.now <= last + times * self.within, "counts as told, and has not asked"
+            assert self.now <= last + spans * self.within_ms, "the call for the list is too late"
 
-    def fail(self, after: float, unheard: float, times: int) -> None:
-        self.now += after
-        self.asked, self.counted, self.times = False, self.now - unheard, times
-        self.tell(ListUpdate(ListKind.FAILED, unheard_ms=unheard))
+    def fail(self, after_ms: float, unheard_ms: float, spans: int) -> None:
+        self.now += after_ms
+        self.calling, self.last_counted, self.spans = False, self.now - unheard_ms, spans
+        self.tell(ListUpdate(ListKind.FAILED, unheard_ms=unheard_ms))
 
 
 @given(
-    within=st.floats(3_000, 20_000),
+    within_ms=st.floats(3_000, 20_000),
     balancers=st.integers(1, 1_024),
     seed=st.integers(0, 1_000),
     steps=st.lists(
@@ -166,47 +173,47 @@
         max_size=15,
     ),
 )
-def test_through_any_chain_the_next_call_is_made_before_the_balancer_counts_as_told(
-    within: float, balancers: int, seed: int, steps: list[tuple[str, float]]
+def test_next_call_is_in_time_through_any_sequence_of_failures_and_moves(
+    within_ms: float, balancers: int, seed: int, steps: list[tuple[str, float]]
 ) -> None:
-    judge = Judge(within, balancers, seed)
-    patience = min(6_000.0, 0.6 * within)  # as passpost/discovery.py has it
+    balancer = CallDeadline(within_ms, balancers, seed)
+    timeout_ms = min(6_000.0, 0.6 * within_ms)  # as in passpost/discovery.py
     for step, share in steps:
         match step:
             case "move" | "two moves":
-                # Until the new place is asked the old one is watched: what ends at the worst ends at once.
-                judge.asked, judge.counted, judge.times = False, judge.now, 1
-                judge.tell(ListMoved())
+                # The old address is watched until the new one is asked; at worst that watch ends at once.
+                balancer.calling, balancer.last_counted, balancer.spans = False, balancer.now, 1
+                balancer.tell(ListMoved())
                 if step == "two moves":
-                    judge.now += share * min([d - judge.now for d in judge.due] or [0.0])
-                    judge.tell(ListMoved())
-                judge.wait_for_the_call()
+                    balancer.now += share * min([due - balancer.now for due in balancer.timers] or [0.0])
+                    balancer.tell(ListMoved())
+                balancer.run_until_call()
                 continue
-        judge.wait_for_the_call()
+        balancer.run_until_call()
         match step:
             case "answer" | "empty":
                 members = (Member("s0"),) if step == "answer" else ()
-                judge.now += share * 2_000
-                judge.tell(ListUpdate(ListKind.CHANGES, members))
-                judge.fail(share * 9_000, 0.0, 1)  # the watch goes on for a while, and ends
+                balancer.now += share * 2_000
+                balancer.tell(ListUpdate(ListKind.CHANGES, members))
+                balancer.fail(share * 9_000, 0.0, 1)  # the watch goes on for a while and ends
             case "503":
-                judge.fail(share * 2_000, 0.0, 4)
+                balancer.fail(share * 2_000, 0.0, 4)
             case "reset":
-                judge.fail(share * 2_000, 0.0, 1)
+                balancer.fail(share * 2_000, 0.0, 1)
             case "silence":
-                judge.fail(patience, patience, 1)
-    judge.wait_for_the_call()
+                balancer.fail(timeout_ms, timeout_ms, 1)
+    balancer.run_until_call()
 
 
-def test_after_too_long_a_silence_the_call_is_made_soon_but_not_at_one_moment() -> None:
-    asking = [ListBackoff(settings(balancers=200), random.Random(seed)) for seed in range(200)]
-    pauses = [a.retry_delay(12_000.0) for a in asking]
-    assert max(pauses) <= 500 and max(pauses) - min(pauses) > 400
+def test_overdue_calls_are_made_soon_and_spread() -> None:
+    backoffs = [ListBackoff(settings(balancers=200), random.Random(seed)) for seed in range(200)]
+    delays = [backoff.retry_delay(12_000.0) for backoff in backoffs]
+    assert max(delays) <= 500 and max(delays) - min(delays) > 400
 
 
-def test_a_place_that_stays_out_of_reach_is_asked_ever_less() -> None:
-    # Refused connections come back at once: a short pause each time would fill the log for as long as that lasts.
-    asking, now = ListBackoff(settings(balancers=200), random.Random(1)), 12_000.0
+def test_delays_grow_while_discovery_is_unreachable() -> None:
+    # A refused connection fails at once: with short delays the log would fill up for as long as that lasts.
+    backoff, now = ListBackoff(settings(balancers=200), random.Random(1)), 12_000.0
     for _ in range(200):
-        now += asking.retry_delay(now)
+        now += backoff.retry_delay(now)
     assert now > 200_000
