--- a/umberworks/concurrency.py
+++ b/umberworks/concurrency.py
@@ -65,15 +65,15 @@
             return
         service_time, in_flight = server.block_times / server.block_aims, server.block_times / span
         server.block_calls, server.block_aims, server.block_times, server.block_from = 0, 0.0, 0.0, now
-        usual_time = server.usual_time or service_time
+        baseline = server.usual_time or service_time
         limit = self.limit(server)
-        if service_time > OVERLOADED_RATIO * usual_time:
+        if service_time > OVERLOADED_RATIO * baseline:
             server.carries = SHRINK_FACTOR * limit
-        elif service_time <= KEPT_SPEED_RATIO * usual_time and in_flight >= NEAR_LIMIT * limit:
+        elif service_time <= KEPT_SPEED_RATIO * baseline and in_flight >= NEAR_LIMIT * limit:
             server.carries = GROWTH_FACTOR * in_flight
             server.ceiling *= CEILING_GROWTH_FACTOR
         # While the server is overloaded or faulty, its usual time stays as it is.
-        if service_time < OVERLOADED_RATIO * usual_time:
-            server.usual_time = usual_time + (
-                SMOOTHING_DOWN if service_time < usual_time else SMOOTHING_UP
-            ) * (service_time - usual_time)
+        if service_time < OVERLOADED_RATIO * baseline:
+            server.usual_time = baseline + (SMOOTHING_DOWN if service_time < baseline else SMOOTHING_UP) * (
+                service_time - baseline
+            )
