--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -1,13 +1,13 @@
-"""What all balancers together send to servers that have just started, against the rule's budget.
+"""Calls from all balancers together to servers that have just started, against the budget of the contract.
 
-What happens. All servers of a tier start at one moment (a release, a zone that returns), and all balancers
-hear of it at one moment. Each of 60 balancers that know well how fast the servers are sends one call to each
-server at once: in the first 1.6 s 35 calls reach a server that may be sent 21, and it falls over.
+The failure: all servers of a tier start at one moment (a release, or a zone that returns), and all balancers
+learn of it at the same moment. Each of 60 balancers, which know the speed of the servers well, sends one call
+to each server at once. In the first 1.6 s a server with a budget of 21 calls gets 35, and collapses.
 
-Why. Where a balancer's part of the budget was under one call a window, its calls were spaced by the time since
-its last call there, and before a first call that time is without end. So the first calls of all were free: in
-the worst windows of ten such fleets 23 to 40 calls were counted, and 23 to 40 of them were first calls, with
-rates known (35 of 35) or not (30 of 30). Balancers now draw for each window whether they may send a call.
+The cause: a balancer whose part of the budget was below one call per window spaced its calls by the time
+since its last call to the server, which before the first call is infinite. So all first calls were free: in
+the worst windows of ten such fleets there were 23 to 40 calls, of which 23 to 40 were first calls, with known
+rates (35 of 35) and without (30 of 30). Balancers now draw for each window whether they may send a call.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 import pytest
 
 from tests.helpers import Desk
-from tests.test_fleet import COLD_FROM, COLD_MS, FACTOR, SERVERS, TAKES_MS, WINDOW_MS, Fleet
+from tests.test_fleet import COLD_FROM, COLD_MS, OVERLOAD_FACTOR, SERVERS, SERVICE_MS, WINDOW_MS, Fleet
 from umberworks.interface import Attached, Detached, Member
 from umberworks.slow_start import MIN_CORES
 
-LONG_CALL_MS = 5 * TAKES_MS
+LONG_SERVICE_MS = 5 * SERVICE_MS
 
 
-def allowed(warmth: float, takes: float) -> float:
-    """N of the rule: what a server so warm can be sent in a window, in calls."""
-    return FACTOR * warmth * MIN_CORES * WINDOW_MS / takes
+def budget(warmth: float, service_ms: float) -> float:
+    """The calls that a server of this warmth may be sent in a window, N in the contract."""
+    return OVERLOAD_FACTOR * warmth * MIN_CORES * WINDOW_MS / service_ms
 
 
-def assert_within_budget(fleet: Fleet, since: float) -> None:
-    """No server gets more in a window after its start at `since` than N + 2 roots of N + 2."""
+def assert_within_budget(fleet: Fleet, started: float) -> None:
+    """No server gets more than N + 2 * sqrt(N) + 2 calls in a window after its start."""
     for server in {name for _, name in fleet.calls}:
-        times = [t for t, name in fleet.calls if name == server and t >= since]
+        times = [t for t, name in fleet.calls if name == server and t >= started]
         for time in times:
-            warmth = min(COLD_FROM + (1 - COLD_FROM) * (time - since) / COLD_MS, 1.0)
-            most = allowed(warmth, fleet.takes)
+            warmth = min(COLD_FROM + (1 - COLD_FROM) * (time - started) / COLD_MS, 1.0)
+            allowed = budget(warmth, fleet.service_ms)
             count = sum(time - WINDOW_MS < other <= time for other in times)
-            bound = most + 2 * most**0.5 + 2
+            bound = allowed + 2 * allowed**0.5 + 2
             assert count <= bound, f"{count} calls in a window at {server}, {bound:.1f} are allowed"
 
 
-def cold_fleet(balancers: int, knows_ms: float) -> Fleet:
-    """Balancers that have known their servers for so long, before servers that all start now."""
-    fleet = Fleet(every=4.0, balancers=balancers, takes=LONG_CALL_MS)
-    fleet.run(knows_ms)
+def cold_fleet(balancers: int, warm_up_ms: float) -> Fleet:
+    """Balancers that have used their servers for `warm_up_ms`, and servers that all start now."""
+    fleet = Fleet(interval_ms=4.0, balancers=balancers, service_ms=LONG_SERVICE_MS)
+    fleet.run(warm_up_ms)
     fleet.replace()
     return fleet
 
 
 @pytest.mark.parametrize(
-    ("balancers", "knows_ms"),
+    ("balancers", "warm_up_ms"),
     [
         (1, 0.0),
         (5, 0.0),
@@ -60,30 +60,31 @@
         (200, 8_000.0),
     ],
 )
-def test_servers_that_all_start_at_one_moment_are_not_pushed_over(balancers: int, knows_ms: float) -> None:
-    fleet = cold_fleet(balancers, knows_ms)
+def test_servers_that_all_start_at_once_are_not_overloaded(balancers: int, warm_up_ms: float) -> None:
+    fleet = cold_fleet(balancers, warm_up_ms)
     started = fleet.now
     fleet.run(6_000)
     assert_within_budget(fleet, started)
 
 
-def test_servers_that_start_once_more_under_their_names_are_not_pushed_over() -> None:
-    # What a balancer was owed before the second start counts for nothing after it.
+def test_servers_that_restart_under_the_same_names_are_not_overloaded() -> None:
+    # Calls that a balancer saved up before the second start must not count after it.
     fleet = cold_fleet(200, 0.0)
     fleet.run(2_500)
     started = fleet.now
-    again = [Member(server, up_since_ms=started) for server in fleet.since]
-    fleet.since = dict.fromkeys(fleet.since, started)
+    restarted = [Member(server, up_since_ms=started) for server in fleet.started_at]
+    fleet.started_at = dict.fromkeys(fleet.started_at, started)
     for desk in fleet.desks:
-        fleet.take(desk, desk.show(*again))
+        fleet.take(desk, desk.show(*restarted))
     fleet.run(4_000)
     assert_within_budget(fleet, started)
 
 
-def test_servers_that_all_balancers_put_back_by_hand_at_one_moment_are_not_pushed_over() -> None:
-    # Operators put two servers back on each balancer, and both start cold. Each balancer sent both a call in each
-    # window, whatever the budget of all: 18 calls in the first window, where 17.4 are allowed with 60 balancers.
-    fleet = Fleet(every=4.0, balancers=60, takes=LONG_CALL_MS)
+def test_servers_that_operators_attach_on_all_balancers_at_once_are_not_overloaded() -> None:
+    # Operators attach two servers on each balancer, and both start cold. Each balancer sent both of them one
+    # call per window, whatever the budget: 18 calls in the first window, where 17.4 are allowed with 60
+    # balancers.
+    fleet = Fleet(interval_ms=4.0, balancers=60, service_ms=LONG_SERVICE_MS)
     fleet.run(4_000)
     names = [f"s{i}" for i in range(SERVERS)]
     for desk in fleet.desks:
@@ -91,41 +92,41 @@
             desk.tell(Detached(name))
     fleet.run(1_000)
     started = fleet.now
-    fleet.since = dict.fromkeys(names[:2], started)
+    fleet.started_at = dict.fromkeys(names[:2], started)
     for desk in fleet.desks:
         for name in names[:2]:
             fleet.take(desk, desk.tell(Attached(name, started)))
     fleet.run(4_000)
     calls = [(t, name) for t, name in fleet.calls if name in names[:2]]
-    assert [t for t, _ in calls if t >= started], "they are in use again"
+    assert [t for t, _ in calls if t >= started], "the attached servers are in use again"
     fleet.calls = calls
     assert_within_budget(fleet, started)
 
 
-def test_a_call_that_waits_long_for_a_cold_server_is_not_owed_by_all_balancers_at_once() -> None:
-    # For 6 s nobody has anything to send; then the requests of all come at one moment.
+def test_calls_saved_up_by_idle_balancers_do_not_overload_a_cold_server() -> None:
+    # No balancer has anything to send for 6 s; then all of them get requests at one moment.
     fleet = cold_fleet(200, 8_000.0)
     started = fleet.now
-    fleet.every = 1e9
+    fleet.interval_ms = 1e9
     fleet.run(6_000)
-    fleet.every = 0.5
+    fleet.interval_ms = 0.5
     fleet.run(1_600)
     assert_within_budget(fleet, started)
 
 
 @pytest.mark.parametrize("balancers", [1, 30, 120])
-def test_a_fleet_that_is_all_new_is_sent_a_quarter_of_its_budget_at_the_least(balancers: int) -> None:
+def test_fleet_of_cold_servers_is_sent_at_least_a_quarter_of_its_budget(balancers: int) -> None:
     fleet = cold_fleet(balancers, 8_000.0)
-    began, before = fleet.now, fleet.served
+    started, served_before = fleet.now, fleet.served
     fleet.run(6_000)
-    mean_warmth = COLD_FROM + (1 - COLD_FROM) * (fleet.now - began) / 2 / COLD_MS
-    could = SERVERS * allowed(mean_warmth, LONG_CALL_MS) * (fleet.now - began) / WINDOW_MS
-    # A server of two cores can serve a third of its budget; what it is sent beyond that waits there.
-    assert fleet.served - before >= could / 4
+    mean_warmth = COLD_FROM + (1 - COLD_FROM) * (fleet.now - started) / 2 / COLD_MS
+    fleet_budget = SERVERS * budget(mean_warmth, LONG_SERVICE_MS) * (fleet.now - started) / WINDOW_MS
+    # A server of two cores can serve a third of its budget; further calls queue there.
+    assert fleet.served - served_before >= fleet_budget / 4
 
 
-def test_a_balancer_that_stands_alone_sends_a_cold_server_its_first_call_at_once() -> None:
-    desk = Desk(0, balancers=1, cold_ms=COLD_MS, cold_from=COLD_FROM, cold_overload_factor=FACTOR)
+def test_single_balancer_sends_a_cold_server_its_first_call_at_once() -> None:
+    desk = Desk(0, balancers=1, cold_ms=COLD_MS, cold_from=COLD_FROM, cold_overload_factor=OVERLOAD_FACTOR)
     desk.show(Member("n0", up_since_ms=desk.now))
     desk.now += 1.0
     assert desk.serve() == "n0"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,6 +1,6 @@
-"""Many balancers before the same servers, each an instance of its own, on one virtual clock.
+"""Many balancers with the same servers, each an instance of its own, on one virtual clock.
 
-What one balancer decides is harmless or not only in the sum: the cases here count over all of them.
+Whether a decision of a balancer does harm depends on the others: these tests count over all balancers.
 """
 
 from __future__ import annotations
@@ -26,14 +26,19 @@
 )
 from umberworks.slow_start import MIN_CORES
 
-BALANCERS, SERVERS, TAKES_MS = 10, 16, 30.0
-COLD_MS, FACTOR, WINDOW_MS, COLD_FROM = 24_000.0, 3.0, 1_500.0, 0.15
+BALANCERS, SERVERS, SERVICE_MS = 10, 16, 30.0
+COLD_MS, OVERLOAD_FACTOR, WINDOW_MS, COLD_FROM = 24_000.0, 3.0, 1_500.0, 0.15
 
 
 class Fleet:
-    """So many balancers, each with an even part of a thin stream of requests, one of them each `every` ms."""
+    """Balancers that share a stream of requests evenly: one request every `interval_ms` in the mean.
 
-    def __init__(self, every: float, balancers: int = BALANCERS, takes: float = TAKES_MS) -> None:
+    A warm server takes `service_ms` for a call.
+    """
+
+    def __init__(
+        self, interval_ms: float, balancers: int = BALANCERS, service_ms: float = SERVICE_MS
+    ) -> None:
         self.desks = [
             Desk(
                 SERVERS,
@@ -42,46 +47,51 @@
                 calling_tier=1,
                 cold_ms=COLD_MS,
                 cold_from=COLD_FROM,
-                cold_overload_factor=FACTOR,
+                cold_overload_factor=OVERLOAD_FACTOR,
                 cold_window_ms=WINDOW_MS,
             )
             for seed in range(balancers)
         ]
-        self.now, self.every, self.takes, self.random = 1_000.0, every, takes, random.Random(5)
-        self.since: dict[str, float] = {}
-        self.calls: list[tuple[float, str]] = []
-        self.due: list[tuple[float, Desk, int, str]] = []
+        self.now, self.interval_ms, self.service_ms, self.random = (
+            1_000.0,
+            interval_ms,
+            service_ms,
+            random.Random(5),
+        )
+        self.started_at: dict[str, float] = {}  # servers that may be cold, and when they started
+        self.calls: list[tuple[float, str]] = []  # time and server
+        self.answers: list[tuple[float, Desk, int, str]] = []  # time, balancer, request, server
         self.timers: list[tuple[float, Desk, str]] = []
         self.served, self.refused = 0, 0
 
     def warmth(self, server: str) -> float:
-        if server not in self.since:
+        if server not in self.started_at:
             return 1.0
-        return min(COLD_FROM + (1 - COLD_FROM) * (self.now - self.since[server]) / COLD_MS, 1.0)
+        return min(COLD_FROM + (1 - COLD_FROM) * (self.now - self.started_at[server]) / COLD_MS, 1.0)
 
     def replace(self) -> None:
-        """Every server gives way to a new one."""
-        fresh = [Member(f"n{self.now:.0f}-{i}", up_since_ms=self.now) for i in range(SERVERS)]
-        self.since = {m.server: self.now for m in fresh}
+        """Replace every server with one that starts now."""
+        members = [Member(f"n{self.now:.0f}-{i}", up_since_ms=self.now) for i in range(SERVERS)]
+        self.started_at = {m.server: self.now for m in members}
         for desk in self.desks:
-            self.take(desk, desk.show(*fresh, kind=ListKind.WHOLE))
+            self.take(desk, desk.show(*members, kind=ListKind.WHOLE))
 
     def take(self, desk: Desk, actions: list) -> None:  # type: ignore[type-arg]
         for send in sent(actions):
             self.calls.append((self.now, send.server))
-            ends = self.now + self.takes / self.warmth(send.server)
-            self.due.append((ends, desk, send.request, send.server))
+            answered_at = self.now + self.service_ms / self.warmth(send.server)
+            self.answers.append((answered_at, desk, send.request, send.server))
         self.refused += sum(isinstance(a, Refuse) for a in actions)
         self.timers += [(a.at_ms, desk, a.token) for a in actions if isinstance(a, SetTimer)]
 
     def windows(self) -> Iterator[tuple[int, float]]:
-        """For each call to a new server: how many came in the window up to it, and how many it can be sent in one."""
-        for server, since in self.since.items():
+        """For each call to a new server: the calls in the window that ends with it, and the server's budget then."""
+        for server, started in self.started_at.items():
             times = [t for t, s in self.calls if s == server]
             for t in times:
-                warmth = COLD_FROM + (1 - COLD_FROM) * (t - since) / COLD_MS
-                most = FACTOR * warmth * MIN_CORES * WINDOW_MS / self.takes
-                yield sum(t - WINDOW_MS < other <= t for other in times), most
+                warmth = COLD_FROM + (1 - COLD_FROM) * (t - started) / COLD_MS
+                budget = OVERLOAD_FACTOR * warmth * MIN_CORES * WINDOW_MS / self.service_ms
+                yield sum(t - WINDOW_MS < other <= t for other in times), budget
 
     def run(self, ms: float) -> None:
         end = self.now + ms
@@ -89,47 +99,52 @@
             self.now += 2.0
             for desk in self.desks:
                 desk.now = self.now
-            for entry in [d for d in self.due if d[0] <= self.now]:
-                self.due.remove(entry)
+            for answer in [a for a in self.answers if a[0] <= self.now]:
+                self.answers.remove(answer)
                 self.served += 1
-                self.take(entry[1], entry[1].end(entry[2], 0, entry[3], Outcome.SERVED))
+                self.take(answer[1], answer[1].end(answer[2], 0, answer[3], Outcome.SERVED))
             for timer in [t for t in self.timers if t[0] <= self.now]:
                 self.timers.remove(timer)
                 self.take(timer[1], timer[1].tell(TimerDue(timer[2])))
-            if self.random.random() < 2.0 / self.every:
+            if self.random.random() < 2.0 / self.interval_ms:
                 desk = self.random.choice(self.desks)
                 self.take(desk, desk.ask(READ)[1])
 
 
-def test_a_fleet_that_is_all_new_serves_what_it_can_and_is_not_pushed_over() -> None:
-    fleet = Fleet(every=10.0)  # over each server 6 calls a second, 0.6 from each balancer
+def test_fleet_of_cold_servers_uses_its_capacity_within_the_budget() -> None:
+    fleet = Fleet(interval_ms=10.0)  # 6 calls/s for each server, 0.6 of them from each balancer
     fleet.run(8_000)
     assert not fleet.refused
     fleet.replace()
-    fleet.run(4_000)  # 4 s old: 0.29 warm; two servers' worth of the work is still there to be had
+    fleet.run(4_000)  # 4 s old, warmth 0.29: the capacity of about two warm servers is still free
     before = fleet.served, fleet.refused
     fleet.run(4_000)
     served, refused = fleet.served - before[0], fleet.refused - before[1]
-    assert served > 0.8 * (served + refused), f"{served} served, {refused} refused: they could take far more"
-    for count, most in fleet.windows():
-        assert count <= most, f"{count} calls in a window at a server that may be sent {most:.1f}"
-
-
-@pytest.mark.parametrize(("balancers", "knows_ms"), [(30, 0.0), (200, 0.0), (200, 4_000.0)])
-def test_all_balancers_together_keep_within_a_cold_servers_budget(balancers: int, knows_ms: float) -> None:
-    # All hear of the starts at one moment. Each sends its first call at once, or where it knows no rate one a window.
+    assert served > 0.8 * (served + refused), (
+        f"{served} served, {refused} refused: the servers have more capacity"
+    )
+    for count, budget in fleet.windows():
+        assert count <= budget, f"{count} calls in a window at a server with a budget of {budget:.1f}"
+
+
+@pytest.mark.parametrize(("balancers", "warm_up_ms"), [(30, 0.0), (200, 0.0), (200, 4_000.0)])
+def test_all_balancers_together_keep_within_the_budget_of_a_cold_server(
+    balancers: int, warm_up_ms: float
+) -> None:
+    # All balancers learn of the starts at one moment. Each of them sent its first call at once or, where it
+    # knew no rate, one call per window.
     fleet = Fleet(
-        every=4.0, balancers=balancers, takes=5 * TAKES_MS
-    )  # the budget is some 9 calls in a window at first
-    fleet.run(knows_ms)
+        interval_ms=4.0, balancers=balancers, service_ms=5 * SERVICE_MS
+    )  # about 9 calls per window at first
+    fleet.run(warm_up_ms)
     fleet.replace()
     fleet.run(6_000)
-    for count, most in fleet.windows():
-        assert count <= most + 2 * most**0.5 + 2, f"{count} calls in a window, {most:.1f} are allowed"
-    assert fleet.calls, "the fleet serves on"
+    for count, budget in fleet.windows():
+        assert count <= budget + 2 * budget**0.5 + 2, f"{count} calls in a window, {budget:.1f} are allowed"
+    assert fleet.calls, "the fleet still serves calls"
 
 
-def test_a_new_server_is_drawn_by_what_its_kind_has_shown() -> None:
+def test_new_server_is_selected_by_the_speed_of_its_kind() -> None:
     fast = 0
     for seed in range(6):
         desk = Desk(0, seed, balancers=40, calling_tier=1, cold_ms=0.0)
@@ -138,20 +153,21 @@
         for _ in range(400):
             desk.serve(takes=takes)
         desk.show(*(Member(f"{name[:4]}-new{name[4:]}", kind=name[:4]) for name in takes))
-        got = [sent(desk.ask()[1])[0].server for _ in range(8)]  # none has served yet: only their kinds tell
-        fast += sum(name.startswith("fast") for name in got)
+        # None of the new servers has served a call yet: only their kinds differ.
+        servers = [sent(desk.ask()[1])[0].server for _ in range(8)]
+        fast += sum(name.startswith("fast") for name in servers)
     assert fast >= 38, f"{fast} of 48 calls went to servers of the fast kind"
 
 
-class Queue:
-    """Discovery as one service: calls in turn, each takes its time, also one that nobody waits for any more."""
+class DiscoveryQueue:
+    """A discovery that handles calls one after the other, also those that have timed out meanwhile."""
 
-    TURN_MS, TIMEOUT_MS = 25.0, 2_000.0
+    CALL_MS, TIMEOUT_MS = 25.0, 2_000.0
 
     def __init__(self, desks: list[Desk], now: float) -> None:
         self.desks, self.now, self.free_at = desks, now, now
-        self.due: list[tuple[float, int, Event]] = []
-        self.told: set[int] = set()
+        self.due: list[tuple[float, int, Event]] = []  # time, balancer, event
+        self.informed: set[int] = set()  # balancers that have received the list
         self.failed = 0
         for i, desk in enumerate(desks):
             self.take(i, desk.log)
@@ -161,7 +177,7 @@
             if isinstance(action, SetTimer) and action.token == "list":
                 self.due.append((action.at_ms, i, TimerDue("list")))
             elif isinstance(action, Subscribe):
-                self.free_at = max(self.free_at, self.now) + self.TURN_MS
+                self.free_at = max(self.free_at, self.now) + self.CALL_MS
                 if self.free_at - self.now <= self.TIMEOUT_MS:
                     self.due.append((self.free_at, i, ListUpdate(ListKind.CHANGES)))
                 else:
@@ -170,56 +186,59 @@
     def run(self, ms: float) -> None:
         end = self.now + ms
         while self.due and min(self.due, key=lambda d: d[0])[0] <= end:
-            entry = min(self.due, key=lambda d: d[0])
-            self.due.remove(entry)
-            self.now, i, event = entry
+            next_due = min(self.due, key=lambda d: d[0])
+            self.due.remove(next_due)
+            self.now, i, event = next_due
             if isinstance(event, ListUpdate):
                 self.failed += event.kind is ListKind.FAILED
                 if event.kind is not ListKind.FAILED:
-                    self.told.add(i)
+                    self.informed.add(i)
             self.desks[i].now = self.now
             self.take(i, self.desks[i].tell(event))
         self.now = end
 
 
 def test_many_balancers_that_start_at_once_all_get_the_list() -> None:
-    # In step, all but the first 80 calls wait too long, and those that repeat them keep the line that long for good.
+    # If all called at once, all but the first 80 calls would time out, and their repeats would keep the queue
+    # that long for good.
     desks = [Desk(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
-    queue = Queue(desks, 1_000.0)
+    queue = DiscoveryQueue(desks, 1_000.0)
     queue.run(12_000.0)
-    assert len(queue.told) == 200
+    assert len(queue.informed) == 200
     assert queue.failed < 100
 
 
 @pytest.mark.parametrize(
-    ("event", "within"),
+    ("event", "within_ms"),
     [(ListUpdate(ListKind.FAILED), 20_000.0), (ListMoved(), 12_000.0)],
-    ids=["their watches end", "they are moved"],
+    ids=["watches end", "list moves"],
 )
-def test_many_balancers_that_lose_the_list_together_ask_again_spread(event: Event, within: float) -> None:
+def test_many_balancers_that_lose_the_list_together_spread_their_calls(
+    event: Event, within_ms: float
+) -> None:
     desks = [Desk(4, seed, balancers=200, list_is_asked=True) for seed in range(200)]
-    queue = Queue(desks, 1_000.0)
+    queue = DiscoveryQueue(desks, 1_000.0)
     queue.run(12_000.0)
-    queue.told.clear()
+    queue.informed.clear()
     queue.failed = 0
     for i, desk in enumerate(desks):
         desk.now = queue.now
         queue.take(i, desk.tell(event))
-    queue.run(within)
-    assert len(queue.told) == 200
+    queue.run(within_ms)
+    assert len(queue.informed) == 200
     assert queue.failed < 100
 
 
-def test_few_balancers_ask_at_once() -> None:
+def test_few_balancers_ask_for_the_list_without_delay() -> None:
     desk = Desk(4, balancers=7, list_is_asked=True)
     assert Subscribe() in desk.log
     assert Subscribe() in desk.tell(ListMoved())
 
 
-def test_no_pause_lasts_until_a_balancer_counts_as_told() -> None:
+def test_delays_end_before_a_balancer_counts_as_informed() -> None:
     for seed in range(50):
         desk = Desk(4, seed, balancers=1_000, list_is_asked=True, ask_within_ms=10_000)
         for _ in range(12):
             for action in desk.tell(ListUpdate(ListKind.FAILED)):
-                # A change counts as told 6 s after discovery had it, of which its answer may take 1.5 s.
+                # A change counts as known 6 s after discovery had it, of which the answer may take 1.5 s.
                 assert not isinstance(action, SetTimer) or action.at_ms - desk.now + 1_500 <= 6_000
