--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -1,4 +1,4 @@
-"""What one version hands on to the next: over the wire, and what is believed of it."""
+"""Measurements handed from one version to the next: the encoding, and what the new version uses of them."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
 
 
 @given(st.builds(Inherited, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
-def test_the_line_gives_back_what_was_written(learned: Inherited) -> None:
-    line = heritage.write(learned)
-    assert b"\n" not in line and heritage.read(line) == learned
+def test_measurements_survive_writing_and_reading(inherited: Inherited) -> None:
+    line = heritage.write(inherited)
+    assert b"\n" not in line and heritage.read(line) == inherited
 
 
 @pytest.mark.parametrize(
@@ -59,51 +59,52 @@
         b"[" * 50_000,
     ],
 )
-def test_a_line_that_is_none_is_refused(line: bytes) -> None:
+def test_malformed_line_is_rejected(line: bytes) -> None:
     with pytest.raises(ValueError):
         heritage.read(line)
 
 
-def balancer(*members: Member) -> Balancer:
-    made = Balancer(Settings(classes=(READ,)), 1)
-    made.handle(ListUpdate(ListKind.WHOLE, members), 1_000.0)
-    return made
+def make_balancer(*members: Member) -> Balancer:
+    balancer = Balancer(Settings(classes=(READ,)), 1)
+    balancer.handle(ListUpdate(ListKind.WHOLE, members), 1_000.0)
+    return balancer
 
 
-def busy(one: Balancer, requests: int, now: float) -> None:
+def serve(balancer: Balancer, requests: int, now: float) -> None:
+    """Let a balancer take one request every 10 ms, each served after 8 ms."""
     for number in range(requests):
-        actions = one.handle(RequestArrived(number, "read", 2_000), now + 10 * number)
+        actions = balancer.handle(RequestArrived(number, "read", 2_000), now + 10 * number)
         server = next(a.server for a in actions if isinstance(a, Send))
-        one.handle(AttemptEnded(number, 0, server, Outcome.SERVED, True), now + 10 * number + 8)
+        balancer.handle(AttemptEnded(number, 0, server, Outcome.SERVED, True), now + 10 * number + 8)
 
 
-def test_a_new_version_knows_what_the_old_one_had_learned() -> None:
-    old, new = balancer(Member("a"), Member("b")), balancer(Member("a"), Member("b"))
-    busy(old, 300, 2_000.0)
-    learned = old.learned(5_000.0)
-    assert learned.base > 0 and all(k.usual_time > 0 for k in learned.servers)
-    new.handle(learned, 5_000.0)
-    assert new.learned(5_000.0) == learned
-    busy(new, 20, 5_000.0)
+def test_new_version_has_the_measurements_of_the_old_one() -> None:
+    old, new = make_balancer(Member("a"), Member("b")), make_balancer(Member("a"), Member("b"))
+    serve(old, 300, 2_000.0)
+    inherited = old.learned(5_000.0)
+    assert inherited.base > 0 and all(k.usual_time > 0 for k in inherited.servers)
+    new.handle(inherited, 5_000.0)
+    assert new.learned(5_000.0) == inherited
+    serve(new, 20, 5_000.0)
 
 
-def test_nothing_is_believed_of_another_process_or_over_own_evidence() -> None:
-    old = balancer(Member("a"), Member("b"))
-    busy(old, 300, 2_000.0)
-    learned = old.learned(5_000.0)
-    restarted = balancer(Member("a", up_since_ms=4_000.0))
-    restarted.handle(learned, 5_000.0)
+def test_measurements_of_another_process_or_over_own_ones_are_ignored() -> None:
+    old = make_balancer(Member("a"), Member("b"))
+    serve(old, 300, 2_000.0)
+    inherited = old.learned(5_000.0)
+    restarted = make_balancer(Member("a", up_since_ms=4_000.0))
+    restarted.handle(inherited, 5_000.0)
     assert restarted.learned(5_000.0).servers == ()
-    own = balancer(Member("a"), Member("b"))
-    busy(own, 100, 4_000.0)
+    own = make_balancer(Member("a"), Member("b"))
+    serve(own, 100, 4_000.0)
     before = own.learned(5_000.0)
-    own.handle(learned, 5_000.0)
+    own.handle(inherited, 5_000.0)
     assert own.learned(5_000.0).servers == before.servers
 
 
-def test_a_server_that_is_listed_later_gets_what_was_handed_on() -> None:
-    old, new = balancer(Member("a"), Member("b")), balancer(Member("a"))
-    busy(old, 300, 2_000.0)
+def test_server_that_is_listed_later_gets_its_measurements() -> None:
+    old, new = make_balancer(Member("a"), Member("b")), make_balancer(Member("a"))
+    serve(old, 300, 2_000.0)
     new.handle(old.learned(5_000.0), 5_000.0)
     new.handle(ListUpdate(ListKind.CHANGES, (Member("b"),)), 5_000.0)
     assert {k.server for k in new.learned(5_000.0).servers} == {"a", "b"}
