--- a/umberworks/handover.py
+++ b/umberworks/handover.py
@@ -43,7 +43,7 @@
         self._known: dict[str, face.Known] = {}
 
     def load(self, event: face.Inherited, admission: AdmissionControl) -> None:
-        """Take over the measurements, and the base service time if there is no own one yet."""
+        """Take over the measurements, and the base service time if this version has not measured it."""
         if not admission.base_service_time and event.base:
             admission.base_service_time = admission.mean_service_time = event.base
         self._known = {k.server: k for k in event.servers}
--- a/umberworks/kinds.py
+++ b/umberworks/kinds.py
@@ -62,7 +62,7 @@
                 time_ms * decay + new_time_ms * new_share,
             )
         changed, (all_calls, all_time_ms) = False, self._measured.get(ALL_KINDS, (0.0, 0.0))
-        if len(self._measured) <= 2 or not all_time_ms:  # a single kind, or nothing measured
+        if len(self._measured) <= 2 or not all_time_ms:  # a single kind, or the list names none
             return False
         mean_speed = all_calls / all_time_ms
         for kind, (calls, time_ms) in self._measured.items():
--- a/umberworks/recovery.py
+++ b/umberworks/recovery.py
@@ -51,8 +51,8 @@
     def update(self, ready: list[Server], refusing: bool, min_limit: float, now: float) -> str:
         """Begin a pause, or judge the last one; to be called twice a second. Returns a log line or "".
 
-        `refusing`: whether calls are refused by the limit on calls in flight. `min_limit`: the least number
-        of calls in flight that a server may have.
+        `refusing`: whether calls are refused by the limit on calls in flight. `min_limit`: the lower bound of
+        each server's own limit.
         """
         for server in ready:
             server.catch_up(now)
