--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -59,18 +59,18 @@
 def received_updates(
     answer_delay_s: float, ask_within_s: float = 10.0, run_s: float = 30.0
 ) -> list[tuple[float, ListUpdate]]:
-    """The list updates, and when they arrive, if discovery answers with this delay that server a is leaving."""
+    """The list updates and when they arrive, if discovery answers this late that server a is leaving."""
     updates: list[tuple[float, ListUpdate]] = []
     answer = listing(2, member("a", "127.0.0.1:1", "leaving"), member("b", "127.0.0.1:2"))
 
     async def main(loop: SimLoop, net: Network) -> None:
-        def tell(update: ListUpdate, addresses: dict[str, Address]) -> None:
+        def record(update: ListUpdate, addresses: dict[str, Address]) -> None:
             updates.append((loop.time(), update))
 
         server = SlowDiscovery((answer_delay_s, answer))
         loop.spawn("discovery", lambda: listen(SimHost(net), DISCOVERY_ADDRESS, lambda: server))
         discovery = Discovery(DISCOVERY_ADDRESS, None, ask_within=ask_within_s, monotonic=loop.time)
-        discovery.start(tell)
+        discovery.start(record)
         discovery.subscribe()
         await asyncio.sleep(run_s)
         discovery.stop()
@@ -123,7 +123,7 @@
 
 
 class CallDeadline:
-    """Runs a balancer and checks that each call for the list is made in time after the last one that counts."""
+    """Runs a balancer and checks that each call for the list follows in time on the last one that counts."""
 
     def __init__(self, within_ms: float, balancers: int, seed: int) -> None:
         self.within_ms, self.now = within_ms, 1_000.0
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -1,4 +1,4 @@
-"""Limits on the calls in flight per server, and recovery pauses, fed with measurements on a clock of the test."""
+"""Concurrency limits and recovery pauses, fed with measurements on a clock of the test."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
 
 
 class Fleet:
-    """Servers with given slowdowns, and balancers that each update their recovery pauses at their own times."""
+    """Servers with given slowdowns, and balancers that update their recovery pauses at their own times."""
 
     def __init__(self, count: int, balancers: int = 1) -> None:
         self.names = [f"s-{i}" for i in range(count)]
@@ -167,7 +167,7 @@
             break
         fleet.run(0.1, tuple(offsets))
         assert all(len(fleet.paused(i)) <= (count + 1) // 2 for i in range(len(offsets)))
-    # The congestion has to last 3.5 s first; then there are two pauses, some 12 s with the time to judge them.
+    # The congestion has to last 3.5 s first; two pauses, with the time to judge them, take some 12 s.
     assert not fleet.congested and fleet.now - START_MS <= MIN_SLOW_MS + 2 * PAUSE_MS + 2_500, fleet.log
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -85,7 +85,7 @@
         self.timers += [(a.at_ms, desk, a.token) for a in actions if isinstance(a, SetTimer)]
 
     def windows(self) -> Iterator[tuple[int, float]]:
-        """For each call to a new server: the calls in the window that ends with it, and the server's budget then."""
+        """For each call to a new server: the calls in the window that it ends, and the server's budget."""
         for server, started in self.started_at.items():
             times = [t for t, s in self.calls if s == server]
             for t in times:
