--- a/umberworks/list_backoff.py
+++ b/umberworks/list_backoff.py
@@ -38,8 +38,8 @@
     def retry_delay(self, since_contact_ms: float) -> float:
         """The delay in ms after a failed call.
 
-        `since_contact_ms`: the time since the last call that certainly counts. The delay is short if that is too
-        long ago.
+        `since_contact_ms`: the time since the last call that certainly counts. The delay is short if that is
+        too long ago.
         """
         base_delay = min(RETRY_BASE_MS * float(2 ** min(self.failures, 9)), self._ask_within_ms / 3)
         longest = min(1.5 * max(base_delay, self._spread_ms), MAX_DELAY_MS)
