--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,6 +1,7 @@
-"""An independent checker of the four rules, driven by seeded random days: legal, odd, with restarts.
+"""Checks the balancer's four rules in seeded random simulations, with unusual events and restarts.
 
-The checker knows only events and actions; it shares no code with the decisions.
+The rules: no request is lost, no effect happens twice, draining servers get no calls, cold ones not too many.
+The checker sees only events and actions, and shares no code with the decisions.
 """
 
 from __future__ import annotations
@@ -38,14 +39,14 @@
 from umberworks.rules import Balancer
 from umberworks.slow_start import MIN_CORES
 
-GRACE_MS = 20.0
-TAKES_MS = 80.0  # mean of a call at a warm server
+GRACE_MS = 20.0  # how much later than its deadline a request may be answered
+MEAN_SERVICE_MS = 80.0  # mean time of a call at a warm server
 NEVER_RAN = (Outcome.TURNED_AWAY, Outcome.UNREACHED, Outcome.NOT_SENT)
-COSTLY = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNKNOWN)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNKNOWN)
 
 
 @dataclass
-class Try:
+class AttemptRecord:
     server: str
     cell: int
     zone: str
@@ -55,16 +56,16 @@
 
 
 @dataclass
-class Case:
+class RequestRecord:
     cls: RequestClass
     deadline: float
-    tries: list[Try] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     final: str | None = None
-    gone: bool = False
+    client_gone: bool = False
 
 
-class Day:
-    """Plays random events against one balancer and checks each action as it comes."""
+class Simulation:
+    """Sends random events to a balancer and checks each action that it returns."""
 
     def __init__(self, seed: int, **changes: object) -> None:
         self.random = random.Random(seed)
@@ -72,7 +73,7 @@
         self.now = 50_000.0
         self.queue: list[tuple[float, int, Event]] = []
         self.count = 0
-        self.cases: dict[int, Case] = {}
+        self.records: dict[int, RequestRecord] = {}
         self.finished = 0
         self.finals = {"served": 0, "refused": 0, "failed": 0}
         self.retried = 0
@@ -83,43 +84,43 @@
 
     def restart(self) -> None:
         self.queue = []
-        self.cases = {}
+        self.records = {}
         self.sends = {}
         self.busiest = 0
         self.balancer = Balancer(self.settings, self.random.getrandbits(40))
         if not self.list:
             for i in range(6):
                 self.list[f"s{i}"] = Member(f"s{i}", zone=f"z{i % 2}", cell=i // 3)
-        self.tell(ListUpdate(ListKind.SAVED, tuple(self.list.values())))
+        self.send_event(ListUpdate(ListKind.SAVED, tuple(self.list.values())))
 
     def push(self, at: float, event: Event) -> None:
         self.count += 1
         heapq.heappush(self.queue, (at, self.count, event))
 
-    def tell(self, event: Event) -> None:
+    def send_event(self, event: Event) -> None:
         for action in self.balancer.handle(event, self.now):
             self.carry_out(action)
 
     def carry_out(self, action: Action) -> None:
         match action:
             case Send(request, server, timeout):
-                self.check_send(self.cases[request], server)
+                self.check_send(self.records[request], server)
                 self.start(request, server, timeout)
             case Refuse(request):
-                case = self.cases[request]
-                maybe = [t for t in case.tries if t.may_have_run]
-                once_more = case.cls.effect is Effect.REPEATABLE or (
-                    case.cls.effect is Effect.KEYED and case.cls.dedup_scope is DedupScope.ALL
+                record = self.records[request]
+                possibly_run = [t for t in record.attempts if t.may_have_run]
+                repeatable = record.cls.effect is Effect.REPEATABLE or (
+                    record.cls.effect is Effect.KEYED and record.cls.dedup_scope is DedupScope.ALL
                 )
-                assert not maybe or once_more, "refused what may have run"
-                self.finish(case, "refused")
+                assert not possibly_run or repeatable, "refused a request that may have run"
+                self.finish(record, "refused")
             case Fail(request):
-                self.finish(self.cases[request], "failed")
+                self.finish(self.records[request], "failed")
             case Cancel(request, attempt):
                 assert self.settings.may_cancel
-                case = self.cases[request]
-                assert attempt < len(case.tries), "cancelled an attempt never made"
-                if case.tries[attempt].out:
+                record = self.records[request]
+                assert attempt < len(record.attempts), "cancelled an attempt never made"
+                if record.attempts[attempt].out:
                     self.push(self.now, self.ending(request, attempt, Outcome.CANCELLED))
             case SetTimer(at, token):
                 self.push(max(at, self.now + 0.01), TimerDue(token))
@@ -130,40 +131,40 @@
                 else:
                     self.push(self.now + 30, ListUpdate(ListKind.WHOLE, tuple(self.list.values())))
 
-    def check_send(self, case: Case, server: str) -> None:
-        assert case.final is None and not case.gone, "sent after the end"
-        assert self.now <= case.deadline, "sent after the deadline"
-        assert len(case.tries) < self.settings.max_attempts, "more attempts than allowed"
+    def check_send(self, record: RequestRecord, server: str) -> None:
+        assert record.final is None and not record.client_gone, "sent after the end"
+        assert self.now <= record.deadline, "sent after the deadline"
+        assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
         member = self.list.get(server)
-        assert member is not None and member.readiness is Readiness.READY, "sent to what drains or is gone"
+        assert member is not None and member.readiness is Readiness.READY, "sent to a draining or gone server"
         if not self.settings.may_duplicate:
-            assert not any(t.out for t in case.tries), "two attempts out"
-        maybe = [t for t in case.tries if t.may_have_run]
-        if maybe and case.cls.effect is not Effect.REPEATABLE:
-            assert case.cls.effect is Effect.KEYED, "an unsafe request sent twice"
-            assert self.now < maybe[0].sent + case.cls.dedup_window_ms, "repeated after the window"
-            for earlier in maybe:
-                if case.cls.dedup_scope is DedupScope.CELL:
+            assert not any(t.out for t in record.attempts), "two attempts out"
+        possibly_run = [t for t in record.attempts if t.may_have_run]
+        if possibly_run and record.cls.effect is not Effect.REPEATABLE:
+            assert record.cls.effect is Effect.KEYED, "an unsafe request sent twice"
+            assert self.now < possibly_run[0].sent + record.cls.dedup_window_ms, "repeated after the window"
+            for earlier in possibly_run:
+                if record.cls.dedup_scope is DedupScope.CELL:
                     assert earlier.cell == member.cell, "repeated outside the cell"
-                if case.cls.dedup_scope is DedupScope.ZONE:
+                if record.cls.dedup_scope is DedupScope.ZONE:
                     assert earlier.zone == member.zone, "repeated outside the zone"
         self.check_cold(member)
 
     def check_cold(self, member: Member) -> None:
-        """A cold server may get one call in a window, or what its warmth allows of the busiest warm one, or
-        of our part of the calls that a warm one of few cores can serve."""
+        """A cold server may get one call in a window, or by its warmth a share of the calls of the busiest
+        warm server, or of this balancer's part of the calls that a warm server with few cores can serve."""
         window = self.settings.cold_window_ms
-        mine = self.sends.setdefault(member.server, [])
+        send_times = self.sends.setdefault(member.server, [])
         warmth = self.warmth(member)
         if warmth < 1:
-            alone = MIN_CORES * window / TAKES_MS / self.settings.balancers
-            most = self.settings.cold_overload_factor * warmth * max(self.busiest, alone)
-            count = 1 + sum(t > self.now - window for t in mine)
-            assert count <= max(1, most), f"a cold server pushed over: {count} calls, at most {most}"
+            sequential = MIN_CORES * window / MEAN_SERVICE_MS / self.settings.balancers
+            limit = self.settings.cold_overload_factor * warmth * max(self.busiest, sequential)
+            count = 1 + sum(t > self.now - window for t in send_times)
+            assert count <= max(1, limit), f"a cold server overloaded: {count} calls, at most {limit}"
         else:
-            recent = sum(t > self.now - window for t in mine)
+            recent = sum(t > self.now - window for t in send_times)
             self.busiest = max(self.busiest, recent)
-        mine.append(self.now)
+        send_times.append(self.now)
 
     def warmth(self, member: Member) -> float:
         age = self.now - member.up_since_ms
@@ -172,56 +173,56 @@
         return self.settings.cold_from + (1 - self.settings.cold_from) * age / self.settings.cold_ms
 
     def start(self, request: int, server: str, timeout: float) -> None:
-        case = self.cases[request]
+        record = self.records[request]
         member = self.list[server]
-        attempt = len(case.tries)
+        attempt = len(record.attempts)
         if attempt:
             self.retried += 1
-        case.tries.append(Try(server, member.cell, member.zone, self.now))
-        limit = case.deadline - self.now
+        record.attempts.append(AttemptRecord(server, member.cell, member.zone, self.now))
+        limit = record.deadline - self.now
         limit = min(limit, timeout) if timeout > 0 else limit
-        takes = self.random.expovariate(1 / TAKES_MS) / self.warmth(member)
+        takes = self.random.expovariate(1 / MEAN_SERVICE_MS) / self.warmth(member)
         kind = self.random.random()
         if kind < 0.6 and takes < limit:
             self.push(self.now + takes, self.ending(request, attempt, Outcome.SERVED))
         elif kind < 0.75 and takes < limit:
             self.push(self.now + takes, self.ending(request, attempt, self.random.choice(NEVER_RAN)))
         elif kind < 0.9 and takes < limit:
-            self.push(self.now + takes, self.ending(request, attempt, self.random.choice(COSTLY)))
+            self.push(self.now + takes, self.ending(request, attempt, self.random.choice(MAY_HAVE_RUN)))
         else:
             self.push(self.now + limit, self.ending(request, attempt, Outcome.TIMED_OUT))
 
     def ending(self, request: int, attempt: int, outcome: Outcome) -> AttemptEnded:
-        return AttemptEnded(request, attempt, self.cases[request].tries[attempt].server, outcome)
+        return AttemptEnded(request, attempt, self.records[request].attempts[attempt].server, outcome)
 
-    def finish(self, case: Case, how: str) -> None:
-        assert case.final is None, "two final answers"
-        if not case.gone:
-            assert self.now <= case.deadline + GRACE_MS, "answered too late"
-        case.final = how
+    def finish(self, record: RequestRecord, how: str) -> None:
+        assert record.final is None, "two final answers"
+        if not record.client_gone:
+            assert self.now <= record.deadline + GRACE_MS, "answered too late"
+        record.final = how
         self.finished += 1
         self.finals[how] += 1
 
     def deliver(self, event: Event) -> None:
         if isinstance(event, AttemptEnded):
-            case = self.cases[event.request]
-            this = case.tries[event.attempt]
-            if not this.out:
+            record = self.records[event.request]
+            attempt_record = record.attempts[event.attempt]
+            if not attempt_record.out:
                 return
-            this.out = False
-            this.may_have_run = event.outcome not in NEVER_RAN
-            if event.outcome is Outcome.SERVED and case.final is None and not case.gone:
-                self.finish(case, "served")
-            answered = case.final is not None or case.gone
+            attempt_record.out = False
+            attempt_record.may_have_run = event.outcome not in NEVER_RAN
+            if event.outcome is Outcome.SERVED and record.final is None and not record.client_gone:
+                self.finish(record, "served")
+            answered = record.final is not None or record.client_gone
             event = AttemptEnded(event.request, event.attempt, event.server, event.outcome, answered)
         if isinstance(event, ClientDisconnected):
-            case = self.cases[event.request]
-            if case.final is not None:
+            record = self.records[event.request]
+            if record.final is not None:
                 return
-            case.gone = True
+            record.client_gone = True
         if isinstance(event, ListUpdate):
             event = ListUpdate(event.kind, tuple(self.list.values()) if event.kind is ListKind.WHOLE else ())
-        self.tell(event)
+        self.send_event(event)
 
     def change_list(self) -> None:
         name = self.random.choice(list(self.list))
@@ -233,9 +234,9 @@
             new = Member(name, Readiness.GONE, old.zone, old.cell, 1.0, old.up_since_ms)
         else:
             new = Member(name, Readiness.READY, old.zone, old.cell, 1.0, self.now)
-            self.sends[name] = []  # what went to the process before it is no burden to the new one
+            self.sends[name] = []  # calls to the old process don't load the new one
         self.list[name] = new
-        self.tell(ListUpdate(ListKind.CHANGES, (new,)))
+        self.send_event(ListUpdate(ListKind.CHANGES, (new,)))
 
     def shorten_list(self) -> None:
         if len(self.list) > 3:
@@ -245,9 +246,9 @@
             for i in range(4):
                 name = f"n{self.count}-{i}"
                 self.list[name] = Member(name, zone=f"z{i % 2}", cell=self.count + i // 2)
-        self.tell(ListUpdate(ListKind.WHOLE, tuple(self.list.values())))
+        self.send_event(ListUpdate(ListKind.WHOLE, tuple(self.list.values())))
 
-    def play(self, steps: int) -> None:
+    def run(self, steps: int) -> None:
         number = 0
         for _ in range(steps):
             until = self.now + self.random.expovariate(1 / 15)
@@ -257,25 +258,25 @@
                 self.deliver(event)
             self.now = until
             self.check_overdue()
-            dice = self.random.random()
-            if dice < 0.004:
+            roll = self.random.random()
+            if roll < 0.004:
                 self.restart()
-            elif dice < 0.016:
+            elif roll < 0.016:
                 self.change_list()
-            elif dice < 0.022:
+            elif roll < 0.022:
                 self.shorten_list()
             else:
                 number += 1
                 cls = self.random.choice(self.settings.classes)
                 left = self.random.choice((0.0, 1.0, 40.0, 400.0, 2_500.0))
-                self.cases[number] = Case(cls, self.now + left)
-                self.tell(RequestArrived(number, cls.name, left))
+                self.records[number] = RequestRecord(cls, self.now + left)
+                self.send_event(RequestArrived(number, cls.name, left))
                 if self.random.random() < 0.05:
                     self.push(self.now + self.random.random() * left, ClientDisconnected(number))
 
     def check_overdue(self) -> None:
-        for number, case in self.cases.items():
-            late = case.final is None and not case.gone and self.now > case.deadline + GRACE_MS
+        for number, record in self.records.items():
+            late = record.final is None and not record.client_gone and self.now > record.deadline + GRACE_MS
             assert not late, f"request {number} was lost"
 
 
@@ -292,10 +293,10 @@
 
 @pytest.mark.parametrize("variant", range(len(VARIANTS)))
 @pytest.mark.parametrize("seed", range(6))
-def test_the_rules_hold_on_random_days(variant: int, seed: int) -> None:
-    day = Day(seed, **VARIANTS[variant])
-    day.play(1_500)
-    assert day.finals["served"] > 200, "a day on which nothing is served checks nothing"
-    assert day.finals["failed"] + day.finals["refused"] > 20
-    if day.settings.max_attempts > 1:
-        assert day.retried > 10
+def test_the_rules_hold_in_random_simulations(variant: int, seed: int) -> None:
+    simulation = Simulation(seed, **VARIANTS[variant])
+    simulation.run(1_500)
+    assert simulation.finals["served"] > 200, "a run in which nothing is served checks nothing"
+    assert simulation.finals["failed"] + simulation.finals["refused"] > 20
+    if simulation.settings.max_attempts > 1:
+        assert simulation.retried > 10
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The README's example runs as it is printed and prints what it promises."""
 
 from __future__ import annotations
 
