--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -214,7 +214,7 @@
             server.in_flight -= 1
             for _ in range(calls):
                 server.served += 1
-                self.fleet.record_served(server, self.median, self.now)
+                self.fleet.served(server, self.median, self.now)
 
     @rule(which=st.integers(0, 99), by=st.sampled_from([-1, 1]))
     def is_sent(self, which: int, by: int) -> None:
--- a/umberworks/call_tracker.py
+++ b/umberworks/call_tracker.py
@@ -45,7 +45,7 @@
         if outcome is Outcome.SERVED:
             server.served += 1
             server.last_served_at = now
-            self._fleet.record_served(server, median, now)
+            self._fleet.served(server, median, now)
             self._load.record_served(cls.aim_ms, now)
             self._limits.record_served(server, cls.aim_ms, now)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and attempt.times_out_at > now:
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -200,7 +200,7 @@
             self._subset_calls_at = now
         return self._subset_calls + self._other_calls
 
-    def record_served(self, server: Server, median: float, now: float) -> None:
+    def served(self, server: Server, median: float, now: float) -> None:
         """Count a served call, and update the server's bound, as its capacity may have risen."""
         if (bucket := server.bucket) is not None:
             self.decayed_calls(now)
--- a/umberworks/wire.py
+++ b/umberworks/wire.py
@@ -198,7 +198,7 @@
     """
     for name in values:
         if _INDEX.sub(".", name) not in _KNOWN_SETTINGS:
-            warn(f"ignoring the unknown setting {name!r}")
+            warn(f"setting {name!r} is unknown; ignoring it")
     classes = [_read_class(values, f"classes.{i}.") for i in range(integer(values, "classes.count"))]
     tenants = [
         Tenant(required(values, f"orgs.{i}.name"), number(values, f"orgs.{i}.quotaPerS"))
@@ -263,7 +263,7 @@
             return InstanceKilled()
         case "note_from" | "check_result":
             return None
-    warn(f"ignoring an event of the unknown kind {word!r}")
+    warn(f"event {word!r} is unknown; ignoring it")
     return None
 
 
