--- a/umberworks/interface.py
+++ b/umberworks/interface.py
@@ -27,8 +27,7 @@
 class Effect(enum.Enum):
     """Whether a request of a class may run more than once.
 
-    REPEATABLE: any number of times. KEYED: its servers drop duplicates by an idempotency key. ONCE: it must
-    not.
+    REPEATABLE: any number of times. KEYED: servers drop duplicates by an idempotency key. ONCE: never.
     """
 
     REPEATABLE = "repeatable"
@@ -92,11 +91,11 @@
 class RequestClass:
     """A class of requests: its target time and deadline, whether it may be repeated, and its worth.
 
-    `aim_ms` is the target time for the answer, from the arrival of the request. `dedup_window_ms` is how long
-    servers recognize duplicates of a keyed request, and `dedup_scope` which servers do. `worth` is the value
-    of an answer in time; `late_share` is the part of it, 0 to 1, that an answer between the target and the
-    deadline still has. `streamed`: responses are streams, whose server still works while the response is on
-    its way.
+    `aim_ms`, the aim, is the target time for the answer, from the arrival of the request. `dedup_window_ms`
+    is how long servers recognize duplicates of a keyed request, and `dedup_scope` which servers do. `worth`
+    is the value of an answer in time; `late_share` is the part of it, 0 to 1, that an answer between the
+    target and the deadline still has. `streamed`: responses are streams, whose server still works while the
+    response is on its way.
     """
 
     name: str
@@ -159,9 +158,7 @@
     may_cancel: bool = False
     may_duplicate: bool = False
     max_retry_after_ms: float = 0.0  # the longest Retry-After that clients honour; 0: refusals carry none
-    sizes_exact: bool = (
-        False  # `Member.size` is the size that the server registered with, not an estimate or default
-    )
+    sizes_exact: bool = False  # `Member.size` is the registered size, not an estimate or a default
     cold_ms: float = 0.0
     cold_from: float = 1.0
     cold_overload_factor: float = 1.0
--- a/umberworks/servers.py
+++ b/umberworks/servers.py
@@ -54,10 +54,10 @@
         self.served, self.busy_ms, self.updated_at = 0.0, 0.0, now
         self.cold_window_ends_at, self.may_send_when_cold = now, False  # see slow_start.py
         self.mean_calls_out = float(self.calls_out)  # decayed mean, three times as fast as `served`
-        self.concurrency_limit, self.baseline_time = 0.0, 0.0  # see crowd.py; 0: not known
+        self.concurrency_limit, self.baseline_time = 0.0, 0.0  # see concurrency.py; 0: not known
         self.recent_aims_ms, self.recent_calls = 0.0, 0.0  # of served calls, decayed as fast as that mean
-        self.concurrency_ceiling, self.rests_until = math.inf, 0.0  # see rest.py
-        # The current measurement block of crowd.py: served calls, their aims, calls out times ms, start.
+        self.concurrency_ceiling, self.rests_until = math.inf, 0.0  # see recovery.py
+        # The measurement block of concurrency.py: served calls, their aims, calls out times ms, start.
         self.block_calls, self.block_aims_ms, self.block_call_ms, self.block_start = 0, 0.0, 0.0, now
 
     def catch_up(self, now: float) -> None:
