--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -32,8 +32,8 @@
 MAX_STALE_ENTRIES = 64  # answered requests in the wait queue from which it is rebuilt without them
 WAIT_SHARE = 0.1  # share of its aim that a request may wait to be sent before it is refused
 RETRY_AFTER_SHARE = 0.25  # Retry-After as a share of the aim: load changes, and the aim of the client runs on
-# In a drain, callers that find all connections busy leave for good, even if there is nowhere to go; refusing
-# early frees connections at once. It harms callers that don't share connections, so a few callers are exempt.
+# In a drain, callers that find every connection busy leave for good, even with no other balancer; a refusal
+# frees one at once. Callers that don't share theirs lose by it, as free ones help no other: few are exempt.
 MAX_KEPT_FREE, REQUESTS_PER_FREE = 2, 3  # connections kept free, at most and for each so many requests
 RETRY_SHARE = 0.2  # retries allowed for each first attempt, so that a failing fleet is not flooded
 RETRY_BURST = 10.0  # the most retries that can be saved up
@@ -52,8 +52,8 @@
         self._reattached: list[Server] = []  # attached again, and no call served since
         self._removed: dict[str, Server] = {}  # not eligible any more; kept while calls are in flight
         self._requests: dict[int, Request] = {}
-        self._wait_queue: list[tuple[bool, float, int]] = []
-        self._retries, self._now = RETRY_BURST, 0.0
+        self._wait_queue: list[tuple[bool, float, int]] = []  # heap of (over quota, -arrival time, request)
+        self._retries, self._now = RETRY_BURST, 0.0  # retry budget; time of the latest event
         self._load = AdmissionControl(settings.balancers)
         self._limits = ConcurrencyLimits(settings.balancers, settings.calling_tier)
         self._recovery, self._handover, self._kinds = Recovery(), Handover(), KindSpeeds(settings.sizes_exact)
@@ -63,7 +63,7 @@
         self._quotas = TenantQuotas(settings.tenants, settings.balancers)
         self._backoff = ListBackoff(settings, self._random)
         self._started, self._counts_usable, self._sparse = False, False, False
-        self._refusing_until = -math.inf
+        self._refusing_until = -math.inf  # when a refusal counts as the start of a new overload
         self._actions: list[interface.Action] = []
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
