--- a/umberworks/rules.py
+++ b/umberworks/rules.py
@@ -33,7 +33,7 @@
 WAIT_SHARE = 0.1  # share of its aim that a request may wait to be sent before it is refused
 RETRY_AFTER_SHARE = 0.25  # Retry-After as a share of the aim: load changes, and the aim of the client runs on
 # In a drain, callers that find every connection busy leave for good, even with no other balancer; a refusal
-# frees one at once. Callers that don't share theirs lose by it, as free ones help no other: few are exempt.
+# frees one at once. It harms callers that don't share theirs (a free one helps no other): a few are exempt.
 MAX_KEPT_FREE, REQUESTS_PER_FREE = 2, 3  # connections kept free, at most and for each so many requests
 RETRY_SHARE = 0.2  # retries allowed for each first attempt, so that a failing fleet is not flooded
 RETRY_BURST = 10.0  # the most retries that can be saved up
