--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -9,19 +9,21 @@
 import math
 from dataclasses import astuple
 
-from umberworks.interface import Inherited, Known
+from umberworks.interface import LearnedState, ServerEstimate
 
 
-def write(learned: Inherited) -> bytes:
+def write(learned: LearnedState) -> bytes:
     """One line of JSON, without a line end. An infinite ceiling is written as null, as JSON has no infinity."""
     servers = []
     for known in learned.servers:
         values = astuple(known)
-        servers.append([*values[:-1], None if math.isinf(known.ceiling) else known.ceiling])
+        servers.append(
+            [*values[:-1], None if math.isinf(known.concurrency_ceiling) else known.concurrency_ceiling]
+        )
     return json.dumps({"base": learned.base, "servers": servers}, separators=(",", ":")).encode()
 
 
-def read(line: bytes) -> Inherited:
+def read(line: bytes) -> LearnedState:
     """The inverse of `write`; raises ValueError if the line is malformed or a value is out of range."""
     try:
         data = json.loads(line)
@@ -29,7 +31,7 @@
         for name, since, served, busy, usual, carries, ceiling in data["servers"]:
             parsed_ceiling = math.inf if ceiling is None else float(ceiling)
             numbers = float(since), float(served), float(busy), float(usual), float(carries)
-            servers.append(Known(str(name), *numbers, parsed_ceiling))
-        return Inherited(float(data["base"]), tuple(servers))
+            servers.append(ServerEstimate(str(name), *numbers, parsed_ceiling))
+        return LearnedState(float(data["base"]), tuple(servers))
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -15,17 +15,26 @@
 from passpost.ops.store import DetachStore
 from tests.helpers import READ, settings
 from tests.loopback import run, until
-from umberworks.interface import Inherited, Known, ListKind, ListUpdate, Member, RequestArrived, Send
+from umberworks.interface import (
+    LearnedState,
+    ListKind,
+    ListUpdate,
+    Member,
+    RequestArrived,
+    Send,
+    ServerEstimate,
+)
 from umberworks.rules import Balancer
 
 SERVER_COUNTS = (1_024, 2_000, 4_096)
 
 
-def learned_of(count: int) -> Inherited:
+def learned_of(count: int) -> LearnedState:
     servers = (
-        Known(f"s-{i:08x}", 1.7e12 + i / 7, i / 3, i / 7, i / 11, i / 13, 1 / (i + 3)) for i in range(count)
+        ServerEstimate(f"s-{i:08x}", 1.7e12 + i / 7, i / 3, i / 7, i / 11, i / 13, 1 / (i + 3))
+        for i in range(count)
     )
-    return Inherited(0.1234567890123, tuple(servers))
+    return LearnedState(0.1234567890123, tuple(servers))
 
 
 @pytest.mark.parametrize("count", SERVER_COUNTS)
@@ -69,7 +78,8 @@
     for one in (old, new):
         one.handle(ListUpdate(ListKind.WHOLE, members), 1_000.0)
     old.handle(
-        Inherited(0.1, tuple(Known(m.server, 0.0, 2.0, 20.0, 0.2, 0.0, 9.0) for m in members)), 1_001.0
+        LearnedState(0.1, tuple(ServerEstimate(m.server, 0.0, 2.0, 20.0, 0.2, 0.0, 9.0) for m in members)),
+        1_001.0,
     )
     learned = old.learned(1_002.0)
     assert len(learned.servers) == count
