--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -15,7 +15,7 @@
 from passpost.discovery import Discovery
 from passpost.host import HOST
 from passpost.node import Node
-from passpost.ops import handover, heritage, rules
+from passpost.ops import handover, learned_state, rules
 from passpost.ops.counting import CountingEngine
 from passpost.ops.endpoint import Endpoint
 from passpost.ops.model import DetachState, GetMetrics, GetReadiness, Reply, Request, SetDetached, SetDrain
@@ -103,7 +103,7 @@
 
         link = handover.PeerLink(connection, on_closed, self._receive_learned)
         if successor:
-            link.send_line(heritage.write(self.engine.learned()))
+            link.send_line(learned_state.serialize(self.engine.learned()))
         self._links.append(link)
         self._successors += successor
         self._share_descriptors()
@@ -113,7 +113,7 @@
     def _receive_learned(self, line: bytes) -> None:
         """Pass what the old version has learned to the engine; a line that can't be parsed is logged and ignored."""
         try:
-            learned = heritage.read(line)
+            learned = learned_state.deserialize(line)
         except ValueError as error:
             log.warning("what the other version has learned can't be read: %s", error)
         else:
--- a/tests/ops/test_heritage.py
+++ b/tests/ops/test_heritage.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from passpost.ops import heritage
+from passpost.ops import learned_state
 from umberworks.interface import (
     AttemptEnded,
     Effect,
@@ -41,8 +41,8 @@
 
 @given(st.builds(LearnedState, NUMBER, st.lists(KNOWN, max_size=5).map(tuple)))
 def test_measurements_survive_writing_and_reading(inherited: LearnedState) -> None:
-    line = heritage.write(inherited)
-    assert b"\n" not in line and heritage.read(line) == inherited
+    line = learned_state.serialize(inherited)
+    assert b"\n" not in line and learned_state.deserialize(line) == inherited
 
 
 @pytest.mark.parametrize(
@@ -61,7 +61,7 @@
 )
 def test_malformed_line_is_rejected(line: bytes) -> None:
     with pytest.raises(ValueError):
-        heritage.read(line)
+        learned_state.deserialize(line)
 
 
 def make_balancer(*members: Member) -> Balancer:
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from passpost.ops import heritage
+from passpost.ops import learned_state
 from passpost.ops.handover import PeerLink
 from passpost.ops.model import DetachState
 from passpost.ops.rules import diff
@@ -46,10 +46,10 @@
         closed: list[str] = []
         sender = PeerLink(near_end, lambda: closed.append("sender"))
         PeerLink(far_end, lambda: closed.append("receiver"), received.append)
-        sender.send_line(heritage.write(learned_of(count)))
+        sender.send_line(learned_state.serialize(learned_of(count)))
         sender.send_line(b"and another")
         await until(lambda: len(received) == 2)
-        assert heritage.read(received[0]) == learned_of(count) and received[1] == b"and another"
+        assert learned_state.deserialize(received[0]) == learned_of(count) and received[1] == b"and another"
         sender.close()
         await until(lambda: closed == ["receiver"])
 
@@ -62,7 +62,7 @@
         closed: list[str] = []
         link = PeerLink(near_end, lambda: closed.append("ended"))
         far_end.close()
-        link.send_line(heritage.write(learned_of(2_000)))
+        link.send_line(learned_state.serialize(learned_of(2_000)))
         await until(lambda: closed == ["ended"])
         link.send_line(b"later")
         await asyncio.sleep(0)
