--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -11,8 +11,8 @@
 from rich.table import Table
 
 from passpost.cli.command import UnusableError
-from passpost.trace.folder import NoTraceError, steps
-from passpost.trace.tables import Row, Step, add_up, around, follow
+from passpost.trace.folder import NoTraceError, read_records
+from passpost.trace.tables import RequestRecord, Row, add_up, around, follow
 
 MOST_ROWS = 20  # of upstreams, unless all are asked for
 
@@ -51,7 +51,7 @@
 
 
 def _add_up(folder: Path, whole: bool, as_json: bool) -> int:
-    tables = add_up(steps(folder))
+    tables = add_up(read_records(folder))
     if as_json:
         named = {n: [{"name": r[0], **r[1]} for r in rows] for n, rows in asdict(tables).items()}
         click.echo(json.dumps(named, indent=1))
@@ -75,7 +75,7 @@
 
 
 def _follow(folder: Path, txn: str, as_json: bool) -> int:
-    parts = follow(steps(folder), txn)
+    parts = follow(read_records(folder), txn)
     if as_json:
         click.echo(json.dumps([_told(part) for part in parts], indent=1))
     elif not parts:
@@ -87,7 +87,7 @@
 
 
 def _around(folder: Path, server: str, balancer: str | None, as_json: bool) -> int:
-    moments = around(steps(folder), server, balancer)
+    moments = around(read_records(folder), server, balancer)
     if as_json:
         click.echo(json.dumps([asdict(moment) for moment in moments], indent=1))
     elif not moments:
@@ -99,12 +99,12 @@
     return 0 if moments else 1
 
 
-def _told(step: Step) -> dict[str, object]:
+def _told(step: RequestRecord) -> dict[str, object]:
     entry = step.entry
     return {"balancer": step.balancer, **asdict(entry), "end": entry.end.value}
 
 
-def _say(step: Step) -> None:
+def _say(step: RequestRecord) -> None:
     entry = step.entry
     click.echo(
         f"{step.balancer}: {entry.txn} {entry.class_name} at {entry.at_ms} ms:"
--- a/passpost/trace/folder.py
+++ b/passpost/trace/folder.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 
 from passpost.trace.model import parse_list_call, parse_request
-from passpost.trace.tables import Asked, Step
+from passpost.trace.tables import ListCallRecord, RequestRecord
 
 
 class NoTraceError(Exception):
     """There are no trace lines to read; the message says why in one sentence."""
 
 
-def steps(folder: Path) -> Iterator[Step | Asked]:
+def read_records(folder: Path) -> Iterator[RequestRecord | ListCallRecord]:
     """The entries of all *.log files, each with its balancer's name, which is the file's name without `.log`.
 
     Raises NoTraceError if there are none or a file can't be read. Bytes that are not UTF-8 and incomplete lines, as a
@@ -28,10 +28,10 @@
                 for line in file:
                     if (entry := parse_request(line)) is not None:
                         found = True
-                        yield Step(path.stem, entry)
+                        yield RequestRecord(path.stem, entry)
                     elif (call := parse_list_call(line)) is not None:
                         found = True
-                        yield Asked(path.stem, call)
+                        yield ListCallRecord(path.stem, call)
     except OSError as error:
         raise NoTraceError(f"{folder}: {error.strerror or error}") from None
     if not found:
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
+class RequestRecord:
     """One request, as traced by one balancer."""
 
     balancer: str
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class ListCallRecord:
     """One call to discovery, as traced by one balancer."""
 
     balancer: str
@@ -39,7 +39,7 @@
     reasons: tuple[Row, ...]
 
 
-def add_up(steps: Iterable[Step | Asked]) -> Tables:
+def add_up(records: Iterable[RequestRecord | ListCallRecord]) -> Tables:
     """Sum up the requests; calls to discovery are skipped.
 
     Upstreams are sorted by attempts that were not served and reasons by requests, both with the largest number first.
@@ -47,10 +47,10 @@
     seconds: dict[int, Counter[str]] = defaultdict(Counter)
     upstreams: dict[str, Counter[str]] = defaultdict(Counter)
     reasons: dict[str, Counter[str]] = defaultdict(Counter)
-    for step in steps:
-        if isinstance(step, Asked):
+    for record in records:
+        if isinstance(record, ListCallRecord):
             continue
-        entry = step.entry
+        entry = record.entry
         second = seconds[entry.at_ms // 1000]
         second["requests"] += 1
         second[entry.end.value] += 1
@@ -59,7 +59,7 @@
             upstreams[attempt.server]["attempts"] += 1
             upstreams[attempt.server][attempt.outcome] += 1
         if entry.end is not RequestEnd.SERVED:
-            reasons[f"{entry.end.value}:{entry.reason()}"][step.balancer] += 1
+            reasons[f"{entry.end.value}:{entry.reason()}"][record.balancer] += 1
     first = min(seconds, default=0)
     return Tables(
         tuple((str(at - first), dict(seconds[at])) for at in sorted(seconds)),
@@ -87,13 +87,13 @@
     }
 
 
-def follow(steps: Iterable[Step | Asked], txn: str) -> list[Step]:
+def follow(records: Iterable[RequestRecord | ListCallRecord], txn: str) -> list[RequestRecord]:
     """The entries of one request, in the order in which balancers received it.
 
     The requests that an upstream sends to later tiers have ids of their own (PROTOCOL) and are not included; only the
     upstream itself can tell which belong to this one.
     """
-    found = (s for s in steps if isinstance(s, Step) and s.entry.txn == txn)
+    found = (s for s in records if isinstance(s, RequestRecord) and s.entry.txn == txn)
     return sorted(found, key=lambda s: (s.entry.at_ms, s.balancer))
 
 
@@ -111,33 +111,39 @@
     late_ms: int = 0
 
 
-def around(steps: Iterable[Step | Asked], server: str, balancer: str | None = None) -> list[Moment]:
+def around(
+    records: Iterable[RequestRecord | ListCallRecord], server: str, balancer: str | None = None
+) -> list[Moment]:
     """The discovery answers in which a server leaves, and the attempts at that server, in order of time.
 
     With `balancer`, only that balancer's attempts, and all its calls to discovery, whatever they returned.
     """
     list_calls, attempts = [], []
-    for step in steps:
-        is_selected = balancer in (None, step.balancer)
-        if isinstance(step, Asked):
-            call = step.call
+    for record in records:
+        is_selected = balancer in (None, record.balancer)
+        if isinstance(record, ListCallRecord):
+            call = record.call
             phases = [phase for name, phase in call.away if name == server]
             if phases or (balancer is not None and is_selected):
                 notice = f"; {server} is {phases[-1]}" if phases else ""
                 after = "whole list" if call.after is None else f"after {call.after}"
                 text = f"{call.place} {after}, wait {call.wait_ms} ms: {call.end} after {call.took_ms} ms{notice}"
-                list_calls.append((bool(phases), Moment(call.at_ms + call.took_ms, step.balancer, text)))
+                list_calls.append((bool(phases), Moment(call.at_ms + call.took_ms, record.balancer, text)))
         elif is_selected:
-            for attempt in step.entry.tries:
+            for attempt in record.entry.tries:
                 if attempt.server == server:
-                    chosen_ms = step.entry.at_ms + attempt.after_ms
+                    chosen_ms = record.entry.at_ms + attempt.after_ms
                     written = (
                         "never went out"
                         if attempt.written_ms is None
                         else f"went out after {attempt.written_ms} ms"
                     )
-                    text = f"{step.entry.txn} chosen; {written}, {attempt.outcome} after {attempt.took_ms} ms"
-                    attempts.append((attempt.written_ms is not None, Moment(chosen_ms, step.balancer, text)))
+                    text = (
+                        f"{record.entry.txn} chosen; {written}, {attempt.outcome} after {attempt.took_ms} ms"
+                    )
+                    attempts.append(
+                        (attempt.written_ms is not None, Moment(chosen_ms, record.balancer, text))
+                    )
     first_notice_ms = min((moment.at_ms for is_notice, moment in list_calls if is_notice), default=None)
     moments = [moment for _, moment in list_calls]
     for was_written, moment in attempts:
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -30,7 +30,7 @@
     parse_list_call,
     parse_request,
 )
-from passpost.trace.tables import Asked, Step, add_up, around, follow
+from passpost.trace.tables import ListCallRecord, RequestRecord, add_up, around, follow
 from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
@@ -102,8 +102,8 @@
 
 
 RECORDS = [
-    Step("n1", request_entry("a", 5_100, RequestEnd.SERVED, AttemptEntry("s0", 0, 9, "served"))),
-    Step(
+    RequestRecord("n1", request_entry("a", 5_100, RequestEnd.SERVED, AttemptEntry("s0", 0, 9, "served"))),
+    RequestRecord(
         "n1",
         request_entry(
             "b",
@@ -113,9 +113,9 @@
             AttemptEntry("s1", 1, 1, "turned_away"),
         ),
     ),
-    Step("n2", request_entry("c", 6_300, RequestEnd.REFUSED)),
-    Step("n2", request_entry("c", 6_100, RequestEnd.REFUSED)),
-    Step("n3", request_entry("d", 6_400, RequestEnd.REFUSED)),
+    RequestRecord("n2", request_entry("c", 6_300, RequestEnd.REFUSED)),
+    RequestRecord("n2", request_entry("c", 6_100, RequestEnd.REFUSED)),
+    RequestRecord("n3", request_entry("d", 6_400, RequestEnd.REFUSED)),
 ]
 
 
@@ -134,9 +134,9 @@
 
 
 def write_logs(folder: Path) -> None:
-    for step in RECORDS:
-        with (folder / f"{step.balancer}.log").open("a") as file:
-            file.write(f"1.0 INFO x: another line\n1.0 INFO x: {format_request(step.entry)}\n")
+    for record in RECORDS:
+        with (folder / f"{record.balancer}.log").open("a") as file:
+            file.write(f"1.0 INFO x: another line\n1.0 INFO x: {format_request(record.entry)}\n")
 
 
 def test_the_logs_command_prints_the_tables_or_follows_one_request(
@@ -159,11 +159,11 @@
     assert capsys.readouterr().out == "no balancer has written of zz\n"
 
 
-LEAVING_SERVER_RECORDS: list[Step | Asked] = [
-    Asked("n1", ListCallEntry("d:1", 4, 10_000, 5_000, 1_000, "answered", (("s0", "leaving"),))),
-    Asked("n2", ListCallEntry("d:1", 4, 10_000, 5_000, 1_500, "cut_off")),
-    Asked("n2", ListCallEntry("d:2", None, 0, 7_000, 2_000, "timed_out")),
-    Step(
+LEAVING_SERVER_RECORDS: list[RequestRecord | ListCallRecord] = [
+    ListCallRecord("n1", ListCallEntry("d:1", 4, 10_000, 5_000, 1_000, "answered", (("s0", "leaving"),))),
+    ListCallRecord("n2", ListCallEntry("d:1", 4, 10_000, 5_000, 1_500, "cut_off")),
+    ListCallRecord("n2", ListCallEntry("d:2", None, 0, 7_000, 2_000, "timed_out")),
+    RequestRecord(
         "n2",
         request_entry(
             "a",
@@ -173,7 +173,9 @@
             AttemptEntry("s0", 10, 9, "served", 2),
         ),
     ),
-    Step("n2", request_entry("b", 5_100, RequestEnd.FAILED, AttemptEntry("s0", 0, 200, "unreached"))),
+    RequestRecord(
+        "n2", request_entry("b", 5_100, RequestEnd.FAILED, AttemptEntry("s0", 0, 200, "unreached"))
+    ),
 ]
 
 
@@ -193,10 +195,15 @@
         7_510,
         9_000,
     ]
-    for step in LEAVING_SERVER_RECORDS:
-        with (tmp_path / f"{step.balancer}.log").open("a") as file:
+    for item in LEAVING_SERVER_RECORDS:
+        with (tmp_path / f"{item.balancer}.log").open("a") as file:
             file.write(
-                (format_request(step.entry) if isinstance(step, Step) else format_list_call(step.call)) + "\n"
+                (
+                    format_request(item.entry)
+                    if isinstance(item, RequestRecord)
+                    else format_list_call(item.call)
+                )
+                + "\n"
             )
     assert command.run(["logs", str(tmp_path), "--server", "s0", "--balancer", "n2"]) == 0
     out = capsys.readouterr().out.splitlines()
