--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -12,7 +12,7 @@
 
 from passpost.cli.command import UnusableError
 from passpost.trace.folder import NoTraceError, read_records
-from passpost.trace.tables import RequestRecord, Row, add_up, around, follow
+from passpost.trace.tables import RequestRecord, Row, summarize, around, follow
 
 MOST_ROWS = 20  # of upstreams, unless all are asked for
 
@@ -51,7 +51,7 @@
 
 
 def _add_up(folder: Path, whole: bool, as_json: bool) -> int:
-    tables = add_up(read_records(folder))
+    tables = summarize(read_records(folder))
     if as_json:
         named = {n: [{"name": r[0], **r[1]} for r in rows] for n, rows in asdict(tables).items()}
         click.echo(json.dumps(named, indent=1))
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -39,7 +39,7 @@
     reasons: tuple[Row, ...]
 
 
-def add_up(records: Iterable[RequestRecord | ListCallRecord]) -> Tables:
+def summarize(records: Iterable[RequestRecord | ListCallRecord]) -> Tables:
     """Sum up the requests; calls to discovery are skipped.
 
     Upstreams are sorted by attempts that were not served and reasons by requests, both with the largest number first.
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -30,7 +30,7 @@
     parse_list_call,
     parse_request,
 )
-from passpost.trace.tables import ListCallRecord, RequestRecord, add_up, around, follow
+from passpost.trace.tables import ListCallRecord, RequestRecord, summarize, around, follow
 from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
@@ -120,7 +120,7 @@
 
 
 def test_requests_are_counted_by_second_and_reason_and_attempts_by_upstream() -> None:
-    tables = add_up(RECORDS)
+    tables = summarize(RECORDS)
     assert tables.seconds == (
         ("0", {"requests": 1, "served": 1, "attempts": 1}),
         ("1", {"requests": 4, "refused": 4, "attempts": 2}),
