--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -12,7 +12,7 @@
 
 from passpost.cli.command import UnusableError
 from passpost.trace.folder import NoTraceError, read_records
-from passpost.trace.tables import RequestRecord, Row, summarize, around, follow
+from passpost.trace.tables import RequestRecord, Row, around, find_request, summarize
 
 MOST_ROWS = 20  # of upstreams, unless all are asked for
 
@@ -75,7 +75,7 @@
 
 
 def _follow(folder: Path, txn: str, as_json: bool) -> int:
-    parts = follow(read_records(folder), txn)
+    parts = find_request(read_records(folder), txn)
     if as_json:
         click.echo(json.dumps([_told(part) for part in parts], indent=1))
     elif not parts:
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -87,7 +87,7 @@
     }
 
 
-def follow(records: Iterable[RequestRecord | ListCallRecord], txn: str) -> list[RequestRecord]:
+def find_request(records: Iterable[RequestRecord | ListCallRecord], txn: str) -> list[RequestRecord]:
     """The entries of one request, in the order in which balancers received it.
 
     The requests that an upstream sends to later tiers have ids of their own (PROTOCOL) and are not included; only the
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -30,7 +30,7 @@
     parse_list_call,
     parse_request,
 )
-from passpost.trace.tables import ListCallRecord, RequestRecord, summarize, around, follow
+from passpost.trace.tables import ListCallRecord, RequestRecord, around, find_request, summarize
 from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
@@ -130,7 +130,7 @@
         ("refused:turned_away", {"requests": 1, "balancers": 1, "most_at_one": 1}),
     )
     assert tables.upstreams[0] == ("s1", {"attempts": 2, "unreached": 1, "turned_away": 1})
-    assert [s.entry.at_ms for s in follow(RECORDS, "c")] == [6_100, 6_300]
+    assert [s.entry.at_ms for s in find_request(RECORDS, "c")] == [6_100, 6_300]
 
 
 def write_logs(folder: Path) -> None:
