--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -12,7 +12,7 @@
 
 from passpost.cli.command import UnusableError
 from passpost.trace.folder import NoTraceError, read_records
-from passpost.trace.tables import RequestRecord, Row, around, find_request, summarize
+from passpost.trace.tables import RequestRecord, Row, find_request, server_timeline, summarize
 
 MOST_ROWS = 20  # of upstreams, unless all are asked for
 
@@ -87,7 +87,7 @@
 
 
 def _around(folder: Path, server: str, balancer: str | None, as_json: bool) -> int:
-    moments = around(read_records(folder), server, balancer)
+    moments = server_timeline(read_records(folder), server, balancer)
     if as_json:
         click.echo(json.dumps([asdict(moment) for moment in moments], indent=1))
     elif not moments:
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class TimelineEvent:
     """A call to discovery, or an attempt at a server; `at_ms` is Unix time in milliseconds.
 
     `late_ms`: for an attempt that was written, the time from the first notice to any balancer that the server leaves to
@@ -111,9 +111,9 @@
     late_ms: int = 0
 
 
-def around(
+def server_timeline(
     records: Iterable[RequestRecord | ListCallRecord], server: str, balancer: str | None = None
-) -> list[Moment]:
+) -> list[TimelineEvent]:
     """The discovery answers in which a server leaves, and the attempts at that server, in order of time.
 
     With `balancer`, only that balancer's attempts, and all its calls to discovery, whatever they returned.
@@ -128,7 +128,9 @@
                 notice = f"; {server} is {phases[-1]}" if phases else ""
                 after = "whole list" if call.after is None else f"after {call.after}"
                 text = f"{call.place} {after}, wait {call.wait_ms} ms: {call.end} after {call.took_ms} ms{notice}"
-                list_calls.append((bool(phases), Moment(call.at_ms + call.took_ms, record.balancer, text)))
+                list_calls.append(
+                    (bool(phases), TimelineEvent(call.at_ms + call.took_ms, record.balancer, text))
+                )
         elif is_selected:
             for attempt in record.entry.tries:
                 if attempt.server == server:
@@ -142,11 +144,11 @@
                         f"{record.entry.txn} chosen; {written}, {attempt.outcome} after {attempt.took_ms} ms"
                     )
                     attempts.append(
-                        (attempt.written_ms is not None, Moment(chosen_ms, record.balancer, text))
+                        (attempt.written_ms is not None, TimelineEvent(chosen_ms, record.balancer, text))
                     )
-    first_notice_ms = min((moment.at_ms for is_notice, moment in list_calls if is_notice), default=None)
-    moments = [moment for _, moment in list_calls]
-    for was_written, moment in attempts:
-        late_ms = moment.at_ms - first_notice_ms if first_notice_ms is not None and was_written else 0
-        moments.append(Moment(moment.at_ms, moment.balancer, moment.text, max(late_ms, 0)))
-    return sorted(moments, key=lambda m: (m.at_ms, m.balancer))
+    first_notice_ms = min((event.at_ms for is_notice, event in list_calls if is_notice), default=None)
+    events = [event for _, event in list_calls]
+    for was_written, event in attempts:
+        late_ms = event.at_ms - first_notice_ms if first_notice_ms is not None and was_written else 0
+        events.append(TimelineEvent(event.at_ms, event.balancer, event.text, max(late_ms, 0)))
+    return sorted(events, key=lambda m: (m.at_ms, m.balancer))
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -30,7 +30,7 @@
     parse_list_call,
     parse_request,
 )
-from passpost.trace.tables import ListCallRecord, RequestRecord, around, find_request, summarize
+from passpost.trace.tables import ListCallRecord, RequestRecord, find_request, server_timeline, summarize
 from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
@@ -182,13 +182,13 @@
 def test_the_notices_of_a_leaving_server_and_the_attempts_at_it_are_listed_in_order(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    moments = around(LEAVING_SERVER_RECORDS, "s0")
-    assert [(m.at_ms, m.balancer, m.late_ms) for m in moments] == [
+    events = server_timeline(LEAVING_SERVER_RECORDS, "s0")
+    assert [(m.at_ms, m.balancer, m.late_ms) for m in events] == [
         (5_100, "n2", 0),
         (6_000, "n1", 0),
         (7_510, "n2", 1_510),
     ]
-    assert [m.at_ms for m in around(LEAVING_SERVER_RECORDS, "s0", "n2")] == [
+    assert [m.at_ms for m in server_timeline(LEAVING_SERVER_RECORDS, "s0", "n2")] == [
         5_100,
         6_000,
         6_500,
