--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -56,7 +56,7 @@
         return Node(config, module=module, engine=TracedEngine, discovery=TracedDiscovery)
     from passpost.ops import node
 
-    folder = node.folder()
+    folder = node.state_folder()
     taken = node.take_over(config, folder)
     if not traced:
         return node.OperatedNode(config, folder, taken, module)
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -230,7 +230,7 @@
     )
 
 
-def folder() -> Path | None:
+def state_folder() -> Path | None:
     """The folder for state that a later version finds: `$TMPDIR`, or None if that is not a folder."""
     path = os.environ.get("TMPDIR", "")
     return Path(path) if path and os.path.isdir(path) else None
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -16,7 +16,7 @@
 from passpost import config
 from passpost.callers import listener
 from passpost.ops import endpoint, handover
-from passpost.ops.node import OperatedNode, folder, take_over
+from passpost.ops.node import OperatedNode, state_folder, take_over
 from tests.loopback import Balancer, FakeServer, Got, Writer, config_data, member, run, until
 
 
@@ -35,21 +35,19 @@
     return {name: int(value) for name, value in (line.split("=") for line in body.splitlines())}
 
 
-async def start_node(data: dict[str, Any], state_folder: Path | None) -> OperatedNode:
+async def start_node(data: dict[str, Any], folder: Path | None) -> OperatedNode:
     read = config.read(data | {"ops": "127.0.0.1:0"})
     # `take_over` blocks until the old version answers, and here that version runs on this event loop.
-    handed_over = await asyncio.to_thread(take_over, read, state_folder)
-    return OperatedNode(read, state_folder, handed_over)
+    handed_over = await asyncio.to_thread(take_over, read, folder)
+    return OperatedNode(read, folder, handed_over)
 
 
 @asynccontextmanager
-async def served(
-    state_folder: Path | None, *upstreams: FakeServer
-) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
+async def served(folder: Path | None, *upstreams: FakeServer) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
     for upstream in upstreams:
         await upstream.start()
     node = await start_node(
-        config_data([member(f"s{i}", u.host_port) for i, u in enumerate(upstreams)]), state_folder
+        config_data([member(f"s{i}", u.host_port) for i, u in enumerate(upstreams)]), folder
     )
     balancer = Balancer(node)
     try:
@@ -302,10 +300,10 @@
 
 def test_the_state_folder_is_tmpdir(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    assert folder() == tmp_path
+    assert state_folder() == tmp_path
     for unusable in ("", str(tmp_path / "none")):
         monkeypatch.setenv("TMPDIR", unusable)
-        assert folder() is None
+        assert state_folder() is None
 
 
 def test_the_operators_address_may_come_from_the_environment(monkeypatch: pytest.MonkeyPatch) -> None:
