--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -20,7 +20,7 @@
 from tests.loopback import Balancer, FakeServer, Got, Writer, config_data, member, run, until
 
 
-async def call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
+async def operator_call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
     reader, writer = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: o\r\n\r\n".encode())
     answer = (await reader.read()).decode()
@@ -30,7 +30,7 @@
 
 
 async def metrics(node: OperatedNode) -> dict[str, int]:
-    status, body = await call(node, "GET", "/_vars")
+    status, body = await operator_call(node, "GET", "/_vars")
     assert status == 200
     return {name: int(value) for name, value in (line.split("=") for line in body.splitlines())}
 
@@ -43,7 +43,9 @@
 
 
 @asynccontextmanager
-async def served(folder: Path | None, *upstreams: FakeServer) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
+async def operated_node(
+    folder: Path | None, *upstreams: FakeServer
+) -> AsyncIterator[tuple[Balancer, OperatedNode]]:
     for upstream in upstreams:
         await upstream.start()
     node = await start_node(
@@ -62,16 +64,16 @@
 
 def test_calls_are_answered_while_other_connections_send_no_complete_call(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (_, node):
+        async with operated_node(tmp_path, FakeServer()) as (_, node):
             silent = [
                 await asyncio.open_connection("127.0.0.1", node.endpoint.port)
                 for _ in range(endpoint.MAX_CONNECTIONS * 3)
             ]
             incomplete = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
             incomplete[1].write(b"GET /_ready HT")
-            assert await call(node, "GET", "/_ready") == (200, "ready\n")
-            assert (await call(node, "GET", "/nothing"))[0] == 404
-            assert (await call(node, "PUT", "/_ready"))[0] == 405
+            assert await operator_call(node, "GET", "/_ready") == (200, "ready\n")
+            assert (await operator_call(node, "GET", "/nothing"))[0] == 404
+            assert (await operator_call(node, "PUT", "/_ready"))[0] == 405
             assert len(node.endpoint.connections) <= endpoint.MAX_CONNECTIONS
             for _, writer in [*silent, incomplete]:
                 writer.close()
@@ -81,7 +83,7 @@
 
 def test_a_call_may_arrive_in_pieces_and_a_malformed_one_gets_400(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (_, node):
+        async with operated_node(tmp_path, FakeServer()) as (_, node):
             reader, writer = await asyncio.open_connection("127.0.0.1", node.endpoint.port)
             for byte in b"GET /_ready HTTP/1.1\r\nHost: o\r\n\r\n":
                 writer.write(bytes([byte]))
@@ -92,7 +94,7 @@
                 writer.write(malformed)
                 with contextlib.suppress(ConnectionResetError):
                     assert (await reader.read()).startswith(b"HTTP/1.1 400 ")
-            assert (await call(node, "GET", "/_ready"))[0] == 200
+            assert (await operator_call(node, "GET", "/_ready"))[0] == 200
 
     run(test())
 
@@ -100,17 +102,17 @@
 def test_a_detached_upstream_gets_no_requests_until_it_is_attached(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
-        async with served(tmp_path, first, second) as (balancer, node):
+        async with operated_node(tmp_path, first, second) as (balancer, node):
             client = await balancer.connect()
-            assert (await call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
-            assert (await call(node, "PUT", "/_upstreams/detach?id=s9"))[0] == 404
+            assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
+            assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s9"))[0] == 404
             for _ in range(10):
                 assert (await client.ask()) is not None
             assert (len(first.got), len(second.got)) == (0, 10)
             values = await metrics(node)
             assert (values["edge.upstreams_known"], values["edge.upstreams_excluded"]) == (2, 1)
-            assert (await call(node, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
-            assert (await call(node, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
+            assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
+            assert (await operator_call(node, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
             assert (await client.ask()) is not None
             assert len(first.got) == 1
 
@@ -128,7 +130,7 @@
             writer.write(b"HTTP/1.1 %b\r\nContent-Length: 0\r\n\r\n" % status)
 
         upstream = FakeServer(reply)
-        async with served(tmp_path, upstream) as (balancer, node):
+        async with operated_node(tmp_path, upstream) as (balancer, node):
             client = await balancer.connect()
             for target in ("/read", "/read", "/pay?bad"):
                 await client.ask(target, method="POST" if "pay" in target else "GET")
@@ -160,13 +162,13 @@
         return answer.status
 
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (balancer, node):
+        async with operated_node(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
             assert (await client.ask()) is not None
             for _ in range(2):
-                assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
+                assert (await operator_call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await ready(balancer) == 503
-            assert (await call(node, "GET", "/_ready"))[0] == 503
+            assert (await operator_call(node, "GET", "/_ready"))[0] == 503
             answer = await client.ask()  # a kept connection still serves requests for a while
             assert answer is not None and answer.status == 200
             assert await client.reader.read() == b""  # then it is closed, although no request was sent on it
@@ -175,7 +177,7 @@
             answer = await late.ask()  # a new connection still serves one request
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(2):
-                assert (await call(node, "PUT", "/_lameduck/off"))[0] == 200
+                assert (await operator_call(node, "PUT", "/_lameduck/off"))[0] == 200
             assert await ready(balancer) == 200
             assert (await (await balancer.connect()).ask()) is not None
 
@@ -185,8 +187,8 @@
 def test_a_new_version_takes_over_the_socket_and_the_detached_upstreams(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
-        async with served(tmp_path, first, second) as (balancer, old):
-            assert (await call(old, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
+        async with operated_node(tmp_path, first, second) as (balancer, old):
+            assert (await operator_call(old, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             kept = await balancer.connect()
             assert (await kept.ask()) is not None
             new = await start_node(
@@ -194,10 +196,10 @@
             )
             assert new.server.port == old.server.port
             await until(lambda: bool(old._links))
-            assert (await call(new, "GET", "/_ready"))[0] == 200
+            assert (await operator_call(new, "GET", "/_ready"))[0] == 200
             # A call to one version takes effect in both.
-            assert (await call(old, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
-            assert (await call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
+            assert (await operator_call(old, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
+            assert (await operator_call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
             await until(lambda: new._applied.detached == {"s1"})
             stopped = asyncio.ensure_future(old.stop())
             answer = await kept.ask()  # an open connection serves one more request and is closed
@@ -221,7 +223,7 @@
 def test_a_third_version_takes_over_from_the_second(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = FakeServer()
-        async with served(tmp_path, upstream) as (_, node):
+        async with operated_node(tmp_path, upstream) as (_, node):
             data = config_data([member("s0", upstream.host_port)])
             for _ in range(2):
                 new = await start_node(data, tmp_path)
@@ -247,7 +249,7 @@
 
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
-        async with served(tmp_path, first, second) as (balancer, _):
+        async with operated_node(tmp_path, first, second) as (balancer, _):
             assert (await (await balancer.connect()).ask()) is not None
             assert (len(first.got), len(second.got)) == (0, 1)
 
@@ -278,7 +280,7 @@
     long_path.mkdir()
 
     async def test() -> None:
-        async with served(long_path, FakeServer()) as (_, old):
+        async with operated_node(long_path, FakeServer()) as (_, old):
             new = await start_node(config_data([]), long_path)
             assert new.server.port == old.server.port
             new.endpoint.close()
@@ -290,8 +292,8 @@
 
 def test_without_a_state_folder_it_serves_and_logs_a_warning(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        async with served(None, FakeServer()) as (balancer, node):
-            assert (await call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
+        async with operated_node(None, FakeServer()) as (balancer, node):
+            assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             assert (await (await balancer.connect()).ask()) is not None
 
     run(test())
@@ -316,7 +318,7 @@
 def test_after_a_new_version_dies_the_old_one_serves_with_all_its_descriptors(tmp_path: Path) -> None:
     async def test() -> None:
         upstream = FakeServer()
-        async with served(tmp_path, upstream) as (balancer, old):
+        async with operated_node(tmp_path, upstream) as (balancer, old):
             callers, upstreams = old.server._max_open, old.upstreams._max_open
             new = await start_node(config_data([member("s0", upstream.host_port)]), tmp_path)
             await until(lambda: old._successors == 1)
@@ -349,10 +351,10 @@
     monkeypatch.setattr(listener, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (balancer, node):
+        async with operated_node(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
             assert (await client.ask()) is not None
-            assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
+            assert (await operator_call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await client.reader.read() == b""
             await node.stop()
             assert node.server._emptier is None
@@ -362,7 +364,7 @@
 
 def test_reloads_are_counted(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (_, node):
+        async with operated_node(tmp_path, FakeServer()) as (_, node):
             node.reload(node._config)
             node.reload_failed()
             node.reload_failed()
--- a/tests/ops/test_processes.py
+++ b/tests/ops/test_processes.py
@@ -25,7 +25,7 @@
     return ports
 
 
-async def call(port: int, method: str, target: str) -> int:
+async def operator_call(port: int, method: str, target: str) -> int:
     """The status of an operator's call; 0 if the connection is refused."""
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -72,7 +72,7 @@
         path.write_text(json.dumps(data | {"listen": f"127.0.0.1:{listen}", "ops": f"127.0.0.1:{port}"}))
         env = os.environ | {"EDGE_CONFIG": str(path), "TMPDIR": str(tmp_path)}
         process = await asyncio.create_subprocess_exec(sys.executable, "-m", "passpost", cwd=ROOT, env=env)
-        while await call(port, "GET", "/_ready") != 200:
+        while await operator_call(port, "GET", "/_ready") != 200:
             assert process.returncode is None
             await asyncio.sleep(0.01)
         return process
@@ -82,7 +82,7 @@
         for upstream in upstreams:
             await upstream.start()
         process = await start(upstreams, ops[0])
-        assert await call(ops[0], "PUT", "/_upstreams/detach?id=s0") == 200
+        assert await operator_call(ops[0], "PUT", "/_upstreams/detach?id=s0") == 200
         callers = [asyncio.ensure_future(call_repeatedly(i)) for i in range(4)]
         for port in ops[1:]:
             await until(lambda: answered > 20 or bool(lost_requests))
@@ -93,7 +93,7 @@
             count = answered
             await until(lambda count=count: answered > count + 20 or bool(lost_requests))  # type: ignore[misc]
         assert upstreams[0].got == []  # detached by a call to the first of three versions
-        assert await call(ops[-1], "PUT", "/_upstreams/attach?id=s0") == 200
+        assert await operator_call(ops[-1], "PUT", "/_upstreams/attach?id=s0") == 200
         await until(lambda: bool(upstreams[0].got) or bool(lost_requests))
         stopped.set()
         await asyncio.gather(*callers)
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.explore import try_seed
 from passpost.rehearsal.script import load
 from tests.loopback import ROOT, FakeServer, balancer, run
-from tests.ops.test_node import call, served
+from tests.ops.test_node import operated_node, operator_call
 
 RESTARTS = ROOT / "rehearsals" / "balancer-restarts.toml"
 MOST_FAULTS = 6
@@ -52,14 +52,14 @@
 @pytest.mark.parametrize("orders", [["on"], ["on", "off"], ["off"]], ids=["empty", "empty, work", "work"])
 def test_operators_orders_do_not_move_the_end_of_a_drain(tmp_path: Path, orders: list[str]) -> None:
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (one, node):
+        async with operated_node(tmp_path, FakeServer()) as (one, node):
             client = await one.connect()
             await client.ask()
             stopped = asyncio.create_task(node.stop())
             await asyncio.sleep(0.1)
             left = node.server.time_left()
             for order in orders:
-                await call(node, "PUT", f"/_lameduck/{order}")
+                await operator_call(node, "PUT", f"/_lameduck/{order}")
                 assert node.server.time_left() < left
                 assert not node.server.is_ready()
             client.writer.close()
@@ -70,11 +70,11 @@
 
 def test_a_call_back_to_work_is_refused_while_the_balancer_ends(tmp_path: Path) -> None:
     async def test() -> None:
-        async with served(tmp_path, FakeServer()) as (_, node):
+        async with operated_node(tmp_path, FakeServer()) as (_, node):
             stopped = asyncio.create_task(node.stop())
             await asyncio.sleep(0.1)
-            assert (await call(node, "PUT", "/_lameduck/off"))[0] == 409
-            assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
+            assert (await operator_call(node, "PUT", "/_lameduck/off"))[0] == 409
+            assert (await operator_call(node, "PUT", "/_lameduck/on"))[0] == 200
             await stopped
 
     run(test())
