--- a/passpost/ops/__init__.py
+++ b/passpost/ops/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' calls, and the handover between two running versions. Imported only if the configuration has `ops`."""
+"""Operators' calls and the handover between two versions. Imported only if the configuration has `ops`."""
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -14,7 +14,7 @@
 
 
 class _CountingCaller:
-    """Wraps a caller, and counts its answer before passing it on. Also the sink of an answer that comes in pieces."""
+    """Wraps a caller and counts its answer before passing it on. Also the sink of a streamed answer."""
 
     __slots__ = ("_caller", "_counters", "_is_open", "_sink", "_totals", "write")
 
@@ -25,7 +25,7 @@
         totals.open_requests += 1
 
     def end(self) -> None:
-        """Count the request as no longer open, with or without an answer; only the first call has an effect."""
+        """Count the request as no longer open, answered or not; only the first call has an effect."""
         self._totals.open_requests -= self._is_open
         self._is_open = False
 
@@ -48,7 +48,7 @@
         self._caller.fail(status)
 
     def begin(self, answer: Answer, length: int | None, source: Source) -> Sink:
-        """Start an answer that comes in pieces; it is counted when it is complete or cut off."""
+        """Start a streamed answer; it is counted when it is complete or cut off."""
         self._sink = self._caller.begin(answer, length, source)
         self.write = self._sink.write
         return self
@@ -93,7 +93,10 @@
         return super().arrived(class_name, tenant, remaining, outgoing, counting_caller, free_connections)
 
     def left(self, number: int) -> None:
-        """The caller has gone: the request is no longer open. Any count would be acceptable; it is left uncounted."""
+        """Count the request as no longer open, as the caller has gone.
+
+        Any count of its end would be acceptable; it is left uncounted.
+        """
         request = self._requests.get(number)
         if request is not None and isinstance(request.caller, _CountingCaller):
             request.caller.end()
--- a/passpost/ops/endpoint.py
+++ b/passpost/ops/endpoint.py
@@ -1,7 +1,8 @@
 """The listener for operators' calls: HTTP/1.1, one call per connection. Makes no decisions.
 
-A connection that does not send a complete call holds a descriptor for up to CALL_TIMEOUT_S. With MAX_CONNECTIONS open,
-a new connection replaces the oldest one, so that incomplete calls can't keep another call out.
+A connection that does not send a complete call holds a descriptor for up to CALL_TIMEOUT_S. With
+MAX_CONNECTIONS open, a new connection replaces the oldest one, so that incomplete calls can't keep another
+call out.
 """
 
 from __future__ import annotations
@@ -34,7 +35,7 @@
 
 
 class Endpoint:
-    """Listens at an address and replies to each call with `handle`; raises OSError if it can't listen there."""
+    """Listens at an address and replies to calls with `handle`; raises OSError if it can't listen there."""
 
     def __init__(self, address: Address, handle: Callable[[Request], Reply], host: Host) -> None:
         self.handle = handle
--- a/passpost/ops/handover.py
+++ b/passpost/ops/handover.py
@@ -1,9 +1,10 @@
 """Hands the clients' listening socket of the running process to a new version that is started beside it.
 
-The running process listens on a Unix socket under `$TMPDIR`. A process that connects there is a new version: it is sent
-the descriptor of the clients' listening socket (SCM_RIGHTS, unix(7)). From then on both accept from the same queue, so
-that a process that ends leaves no connection behind in a queue of its own. Then the running process sends what it has
-learned about the servers, as one line of JSON. The connection stays open: each side detects the other's end by its EOF.
+The running process listens on a Unix socket under `$TMPDIR`. A process that connects there is a new version:
+it is sent the descriptor of the clients' listening socket (SCM_RIGHTS, unix(7)). From then on both accept
+from the same queue, so that a process that ends leaves no connection behind in a queue of its own. Then the
+running process sends what it has learned about the servers, as one line of JSON. The connection stays open:
+each side detects the other's end by its EOF.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 class HandoverHost(Host):
     """A host whose clients' listening socket may come from a running process.
 
-    SO_REUSEPORT is the fallback for a version that can't receive the socket. Each process then has an accept queue of
-    its own, and the connections waiting in it are reset when the process ends.
+    SO_REUSEPORT is the fallback for a version that can't receive the socket. Each process then has an accept
+    queue of its own, and the connections waiting in it are reset when the process ends.
     """
 
     reuse_port = True
@@ -49,8 +50,8 @@
 class PeerLink:
     """The connection to the other version while both run. Calls `on_closed` when the other version closes it.
 
-    `on_line` is called with each line that the other version sends. A line longer than MAX_LINE_BYTES is discarded, and
-    so is anything that arrives after `close`.
+    `on_line` is called with each line that the other version sends. A line longer than MAX_LINE_BYTES is
+    discarded, and so is anything that arrives after `close`.
     """
 
     def __init__(
@@ -114,7 +115,7 @@
 
 
 def request_handover(path: Path) -> HandedOver | None:
-    """The running process's listening socket and the connection to it; None if none runs or it does not answer.
+    """The running process's listening socket and a connection to it; None if no process runs or answers.
 
     Blocks for up to HANDOVER_TIMEOUT_S, so call it before this process serves requests.
     """
@@ -140,7 +141,10 @@
 
 
 class HandoverServer:
-    """Listens at `path` for new versions, sends each the listening socket and passes `on_successor` its connection."""
+    """Listens at `path` for new versions and sends each the clients' listening socket.
+
+    `on_successor` is called with the connection to the new version.
+    """
 
     def __init__(self, path: Path, listener: Listener, on_successor: Callable[[socket.socket], None]) -> None:
         self.path, self._listener, self._on_successor = path, listener, on_successor
@@ -179,8 +183,9 @@
 
 
 def _bindable_path(path: Path) -> str:
-    """A path of the same socket that fits in a socket address (108 bytes, unix(7)), however long its folder's is."""
+    """A path to the same file that fits in a socket address (108 bytes, unix(7)), however long `path` is."""
     if len(os.fsencode(path)) < 100:
         return str(path)
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-    return f"/proc/self/fd/{folder}/{path.name}"  # valid because the descriptor stays open until the process ends
+    # Valid because the descriptor stays open until the process ends.
+    return f"/proc/self/fd/{folder}/{path.name}"
--- a/passpost/ops/learned_state.py
+++ b/passpost/ops/learned_state.py
@@ -13,7 +13,7 @@
 
 
 def serialize(learned: LearnedState) -> bytes:
-    """One line of JSON, without a line end. An infinite ceiling is written as null, as JSON has no infinity."""
+    """One line of JSON, without a line end. An infinite ceiling becomes null, as JSON has no infinity."""
     servers = []
     for estimate in learned.servers:
         values = astuple(estimate)
--- a/passpost/ops/model.py
+++ b/passpost/ops/model.py
@@ -9,8 +9,9 @@
 class DetachState:
     """Which upstreams operators have detached, and when they attached others again.
 
-    `detached`: ids of upstreams that get no requests, whatever the server list says. `attached_at_ms`: id to the Unix
-    time in milliseconds of its last attach, kept for as long as an upstream that started then may still be cold.
+    `detached`: ids of upstreams that get no requests, whatever the server list says. `attached_at_ms`: id to
+    the Unix time in milliseconds of its last attach, kept for as long as an upstream that started then may
+    still be cold.
     """
 
     detached: frozenset[str] = frozenset()
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -25,16 +25,17 @@
 
 log = logging.getLogger("passpost.ops")
 
-# How often the file of detached upstreams is checked while two versions run: a call to one version must take effect in
-# both within 1 s.
+# How often the file of detached upstreams is checked while two versions run: a call to one version must
+# take effect in both within 1 s.
 FILE_CHECK_S = 0.1
 OVERLAP_SHARE = 0.5  # the share of the descriptors that each of two running versions may hold
 
 
 class OperatedNode(Node):
-    """A node with a listener for operators at `config.ops` and state files in `folder` (None: state in memory only).
+    """A node with a listener for operators at `config.ops` and state files in `folder`.
 
-    `handed_over`: the result of `take_over`. Raises OSError if it can't listen on an address.
+    With `folder` None its state is in memory only. `handed_over`: the result of `take_over`. Raises OSError
+    if it can't listen on an address.
     """
 
     engine: CountingEngine
@@ -52,11 +53,11 @@
         path_stem = None if folder is None else _path_stem(config, folder)
         if path_stem is None:
             log.warning(
-                "$TMPDIR is not a folder: bans last until this process ends, and no later version can take over"
+                "$TMPDIR is not a folder: bans end with this process, and no later version can take over"
             )
         host = handover.HandoverHost(handed_over[0] if handed_over else None)
-        # The operators' listener is opened before callers are accepted: if its address is not available, no caller is
-        # affected.
+        # The operators' listener is opened before callers are accepted: if its address is not available, no
+        # caller is affected.
         endpoint = Endpoint(config.ops, self.handle, HOST)
         try:
             super().__init__(config, host, module, engine, discovery)
@@ -89,7 +90,7 @@
     # ---- two versions
 
     def _add_link(self, connection: socket.socket, successor: bool) -> None:
-        """Note that another version runs until it closes `connection`; `successor`: it is newer than this one."""
+        """Note that another version runs until it closes `connection`; `successor`: whether it is newer."""
 
         def on_closed() -> None:
             self._links.remove(link)
@@ -111,7 +112,7 @@
             self._check_file()
 
     def _receive_learned(self, line: bytes) -> None:
-        """Pass what the old version has learned to the engine; a line that can't be parsed is logged and ignored."""
+        """Pass what the old version has learned to the engine; a malformed line is logged and ignored."""
         try:
             learned = learned_state.deserialize(line)
         except ValueError as error:
@@ -131,7 +132,10 @@
             self._check_timer = asyncio.get_running_loop().call_later(FILE_CHECK_S, self._check_file)
 
     async def stop(self) -> None:
-        """Finish the accepted requests and close everything; quicker if a new version accepts connections already."""
+        """Finish the accepted requests, then close everything.
+
+        It takes less time if a new version accepts connections already.
+        """
         if self._handover_server is not None:
             self._handover_server.close()
             self._handover_server = None  # a version that starts from now on has nothing to take over
@@ -189,7 +193,7 @@
         return reply
 
     def _apply_detach_state(self) -> None:
-        """Pass the changes since the last call to the engine, and close the idle connections to their upstreams."""
+        """Pass the changes since the last call to the engine, and close idle connections to the upstreams."""
         detached, attached_at_ms = rules.diff(self._applied, self._store.state)
         self._applied = self._store.state
         for server in detached:
@@ -222,7 +226,10 @@
 
 
 def take_over(config: Config, folder: Path | None) -> handover.HandedOver | None:
-    """The listening socket of a running version and a connection to it, or None; blocks until that version answers."""
+    """The listening socket of a running version and a connection to it, or None.
+
+    Blocks until that version answers.
+    """
     return (
         handover.request_handover(_path_stem(config, folder).with_suffix(".sock"))
         if folder is not None
--- a/passpost/ops/rules.py
+++ b/passpost/ops/rules.py
@@ -1,7 +1,8 @@
 """Parses operators' calls and computes the changes to the detached upstreams. No I/O, no clock.
 
-The calls are those in `METHOD_BY_PATH`; any other is answered with an error that gives the reason. Detached upstreams
-are a set: one attach undoes any number of detaches. An id is known while it is in the server list or detached.
+The calls are those in `METHOD_BY_PATH`; any other is answered with an error that gives the reason. Detached
+upstreams are a set: one attach undoes any number of detaches. An id is known while it is in the server list
+or detached.
 """
 
 from __future__ import annotations
@@ -57,8 +58,8 @@
 ) -> tuple[DetachState, Reply]:
     """The state after a change at `now_ms` (Unix time in milliseconds), and the reply to the operator.
 
-    `listed`: ids in the server list. `retention_ms`: how long the time of an attach is kept. An id that is neither
-    listed nor detached is answered with 404.
+    `listed`: ids in the server list. `retention_ms`: how long the time of an attach is kept. An id that is
+    neither listed nor detached is answered with 404.
     """
     server = change.server
     was_detached = server in state.detached
--- a/passpost/ops/store.py
+++ b/passpost/ops/store.py
@@ -22,7 +22,10 @@
 
 
 class DetachStore:
-    """Reads and changes the state at `path`. Without a path, or if it can't be written, the state is in memory only."""
+    """Reads and changes the state at `path`.
+
+    Without a path, or if the file can't be written, the state is in memory only.
+    """
 
     def __init__(self, path: Path | None) -> None:
         self._path, self._file_version = path, (-1, -1, -1)
@@ -54,7 +57,8 @@
     def change(self, update: Callable[[DetachState], DetachState]) -> None:
         """Replace the state by `update` of what the file says now, under a lock against the other process.
 
-        If the file can't be locked or written, the change applies to the state in memory and an error is logged.
+        If the file can't be locked or written, the change applies to the state in memory and an error is
+        logged.
         """
         if self._path is None:
             self.state = update(self.state)
@@ -91,7 +95,10 @@
 
 
 def parse(data: Any) -> DetachState:
-    """The state in the file's JSON; raises ValueError, TypeError, LookupError or AttributeError if it is malformed."""
+    """The state in the file's JSON.
+
+    Raises ValueError, TypeError, LookupError or AttributeError if it is malformed.
+    """
     attached_at_ms = {str(name): float(at) for name, at in data["back"].items()}
     if not all(map(math.isfinite, attached_at_ms.values())):
         raise ValueError("back: a time is not finite")
--- a/passpost/trace/__init__.py
+++ b/passpost/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Trace lines in the log for each request and each call to discovery, and summaries of the lines of all balancers."""
+"""Logs trace lines for requests and calls to discovery, and sums up the lines of all balancers."""
--- a/passpost/trace/discovery.py
+++ b/passpost/trace/discovery.py
@@ -1,4 +1,4 @@
-"""Logs one line when a call to discovery ends. Off by default, and then not imported; PASSPOST_TRACE=1 turns it on."""
+"""Logs one line when a call to discovery ends. Imported only with PASSPOST_TRACE=1."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
             end = "unreached"
             raise
         finally:
-            # A local agent is called many times a second: its calls are logged only if they fail or tell of a server
-            # that leaves.
+            # A local agent is called many times a second: its calls are logged only if they fail or tell of a
+            # server that leaves.
             if not (self._pushed and end == "answered" and not away):
                 place = f"{line.address[0]}:{line.address[1]}"
                 took_ms = round((HOST.unix() - start) * 1000)
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -1,4 +1,4 @@
-"""Engines that log one line when a request ends. Off by default, and then not imported; enabled by PASSPOST_TRACE=1."""
+"""Engines that log one line when a request ends. Imported only with PASSPOST_TRACE=1."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class TracedEngine(Engine):
-    """Logs how each request and each of its attempts ended, once it has its answer and no attempt is running."""
+    """Logs how each request and its attempts ended, once the request is over and no attempt is running."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
@@ -75,7 +75,8 @@
 
     def _send(self, action: interface.Send) -> None:
         super()._send(action)
-        # On an open connection the attempt was written before it was in `request.attempts`, so `on_written` missed it.
+        # On an open connection the attempt was written before it was in `request.attempts`, so `on_written`
+        # missed it.
         self._note_written(action.request)
 
     def _note_written(self, number: int) -> None:
--- a/passpost/trace/folder.py
+++ b/passpost/trace/folder.py
@@ -16,8 +16,8 @@
 def read_records(folder: Path) -> Iterator[RequestRecord | ListCallRecord]:
     """The entries of all *.log files, each with its balancer's name, which is the file's name without `.log`.
 
-    Raises NoTraceError if there are none or a file can't be read. Bytes that are not UTF-8 and incomplete lines, as a
-    killed process leaves them, are skipped.
+    Raises NoTraceError if there are none or a file can't be read. Bytes that are not UTF-8 and incomplete
+    lines, as a killed process leaves them, are skipped.
     """
     if not folder.is_dir():
         raise NoTraceError(f"{folder}: no such folder")
--- a/passpost/trace/model.py
+++ b/passpost/trace/model.py
@@ -34,9 +34,9 @@
 class AttemptEntry:
     """One attempt of a request.
 
-    `after_ms`: from the request's arrival to the choice of the server. `took_ms`: from that choice to the end of the
-    attempt. `written_ms`: from that choice until the request was written in full, None if it never was. `outcome`: the
-    value of the decision module's `Outcome`, with "_" for a space.
+    `after_ms`: from the request's arrival to the choice of the server. `took_ms`: from that choice to the end
+    of the attempt. `written_ms`: from that choice until the request was written in full, None if it never
+    was. `outcome`: the value of the decision module's `Outcome`, with "_" for a space.
     """
 
     server: str
@@ -106,9 +106,9 @@
 class ListCallEntry:
     """One call to discovery at the address `place`; `at_ms`, its start, is Unix time in milliseconds.
 
-    `after`: the revision after which changes were asked for, None for the whole list. `end`: answered, timed_out,
-    cut_off, unreached, dropped (the call was cancelled), or what was wrong with the answer, such as status_503.
-    `away`: servers in the answer with their phase, "leaving" or "left".
+    `after`: the revision after which changes were asked for, None for the whole list. `end`: answered,
+    timed_out, cut_off, unreached, dropped (the call was cancelled), or what was wrong with the answer, such
+    as status_503. `away`: servers in the answer with their phase, "leaving" or "left".
     """
 
     place: str
--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -42,7 +42,8 @@
 def summarize(records: Iterable[RequestRecord | ListCallRecord]) -> Tables:
     """Sum up the requests; calls to discovery are skipped.
 
-    Upstreams are sorted by attempts that were not served and reasons by requests, both with the largest number first.
+    Upstreams are sorted by attempts that were not served and reasons by requests, both with the largest
+    number first.
     """
     seconds: dict[int, Counter[str]] = defaultdict(Counter)
     upstreams: dict[str, Counter[str]] = defaultdict(Counter)
@@ -79,7 +80,7 @@
 
 
 def _count_by_balancer(by_balancer: Counter[str]) -> dict[str, int]:
-    """Requests, balancers that had them, and the most at one balancer: shows whether all balancers refuse or a few."""
+    """Requests, balancers that had them, and the most at one: shows whether all balancers refuse or a few."""
     return {
         "requests": by_balancer.total(),
         "balancers": len(by_balancer),
@@ -90,8 +91,8 @@
 def find_request(records: Iterable[RequestRecord | ListCallRecord], txn: str) -> list[RequestRecord]:
     """The entries of one request, in the order in which balancers received it.
 
-    The requests that an upstream sends to later tiers have ids of their own (PROTOCOL) and are not included; only the
-    upstream itself can tell which belong to this one.
+    The requests that an upstream sends to later tiers have ids of their own (PROTOCOL) and are not included;
+    only the upstream itself can tell which belong to this one.
     """
     found = (s for s in records if isinstance(s, RequestRecord) and s.entry.txn == txn)
     return sorted(found, key=lambda s: (s.entry.at_ms, s.balancer))
@@ -101,8 +102,8 @@
 class TimelineEvent:
     """A call to discovery, or an attempt at a server; `at_ms` is Unix time in milliseconds.
 
-    `late_ms`: for an attempt that was written, the time from the first notice to any balancer that the server leaves to
-    the choice of the server for this attempt; else 0.
+    `late_ms`: for an attempt that was written, the time from the first notice to any balancer that the server
+    leaves to the choice of the server for this attempt; else 0.
     """
 
     at_ms: int
--- a/tests/ops/test_processes.py
+++ b/tests/ops/test_processes.py
@@ -1,4 +1,4 @@
-"""Handovers between real processes: each is started with the same command and ended by SIGTERM, under constant load."""
+"""Handovers between real processes, each started by the same command and ended by SIGTERM, under load."""
 
 from __future__ import annotations
 
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -1,4 +1,4 @@
-"""Trace lines: written for each request and call to discovery, parsed from any log, summed up, and off by default."""
+"""Trace lines: logged for each request and call to discovery, parsed, summed up, and off by default."""
 
 from __future__ import annotations
 
