--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -1,7 +1,7 @@
-"""Runs the decision module: happenings on sockets become its events, its actions become calls.
+"""Runs the decision module: turns socket activity into its events and carries out its actions.
 
-No decision is made here. What the engine adds is the contract's other side: a clock that never goes back,
-one event at a time, exactly one outcome for each attempt and one answer for each request.
+The engine makes no decisions itself. It fulfils the caller's side of the contract in `umberworks.interface`: a clock
+that never goes back, one event at a time, exactly one outcome per attempt and one answer per request.
 """
 
 from __future__ import annotations
@@ -25,41 +25,41 @@
 
 
 class Caller(Protocol):
-    """Whoever waits for a request's one answer."""
+    """The client side of a request, which receives its one final answer."""
 
     def serve(self, answer: Answer) -> None:
-        """Pass on an upstream's answer."""
+        """Send a complete upstream answer to the client."""
 
     def refuse(self, retry_after_ms: float) -> None:
-        """Say that trying again is harmless, best after so long; 0 for no advice."""
+        """Refuse the request; a retry is safe, best after `retry_after_ms` (0: no advice)."""
 
     def fail(self, status: int) -> None:
-        """Say that it has failed."""
+        """Answer with an error status; the request may or may not have had an effect."""
 
     def begin(self, answer: Answer, length: int | None, source: Source) -> Sink:
-        """Pass on an answer whose body comes in pieces, from `source`."""
+        """Start an answer whose body is streamed from `source`; `length` is None if unknown."""
 
     def has_left(self) -> bool:
-        """Whether it has gone, also if nobody has read its end yet."""
+        """Whether the client has disconnected, even if the end of its connection has not been read yet."""
 
 
-class _Open:
-    """A request that the module has not heard the end of."""
+class _OpenRequest:
+    """A request that has no final answer yet, or that still has unfinished attempts."""
 
     def __init__(self, caller: Caller, outgoing: Outgoing) -> None:
         self.caller, self.outgoing = caller, outgoing
-        self.guard: asyncio.TimerHandle | None = None
-        self.due = 0.0  # when that runs out, by the loop's clock
-        self.started: Attempt | None = None  # its answer is on its way to the caller
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.due_s = 0.0  # when the timer fires, in seconds of the event loop's clock
+        self.started_attempt: Attempt | None = None  # its answer is being streamed to the client
         self.attempts: list[Attempt | None] = []
-        self.out = 0
-        self.finished = False  # answered, or the caller has gone
-        self.status = 502  # for a failure: 504 if the last attempt timed out
-        self.error: Answer | None = None  # an upstream's own words for a failure, where they are passed on
+        self.unfinished_attempts = 0
+        self.finished = False  # it has its final answer, or the client has disconnected
+        self.failure_status = 502  # status of a failure; 504 if the last attempt timed out
+        self.upstream_error: Answer | None = None  # the last error of an upstream, where errors are passed on
 
 
 class Engine:
-    """The one owner of the module, its clock, its timers and the open requests."""
+    """Owns the decision module, its clock, its timers and the open requests."""
 
     def __init__(
         self,
@@ -73,56 +73,61 @@
         keeps_failures: bool = False,
         lasting: bool = False,
     ) -> None:
-        """With `keeps_failures` a request that fails gets the last error of an upstream, in its words.
+        """Create the engine and its decision module, an instance of `module`.
 
-        With `lasting` an answer that has begun may go on for as long as it makes steps; else only a long one may, and
-        one that may still be short has its request's time, and by each byte a little more.
+        `answer_grace`: seconds after a request's deadline at which the engine itself ends an unanswered request.
+        `keeps_failures`: a failed request is answered with the last error response of an upstream, unchanged.
+        `lasting`: a started answer may continue for as long as it makes progress. Otherwise only a long answer may;
+        one that may still turn out short is bounded by its request's deadline, which each byte extends a little.
         """
         self._keeps_failures, self._lasting = keeps_failures, lasting
         self._balancer = module(settings, seed)
         self.classes = {c.name: c for c in settings.classes}
-        self._upstreams, self._subscribe, self._grace = upstreams, subscribe, answer_grace
-        self._requests: dict[int, _Open] = {}
-        self._count = 0
+        self._upstreams, self._subscribe, self._answer_grace_s = upstreams, subscribe, answer_grace
+        self._requests: dict[int, _OpenRequest] = {}
+        self._last_number = 0
         self._events: deque[face.Event] = deque()
-        self._handling = False
-        # The module takes an `up_since_ms` of 0 or less for long ago and compares others with its clock: it
-        # needs Unix time. The system's clock may be set back, so that it is read only once.
+        self._is_handling = False
+        # The module compares `up_since_ms` with its clock (0 or less means long ago), so its clock has to be Unix
+        # time. The system clock can be set back, so it is read only once and the monotonic clock is added to it.
         self._monotonic = host.monotonic
-        self._epoch_ms = host.unix() * 1000 - host.monotonic() * 1000
-        self._now = 0.0
+        self._clock_offset_ms = host.unix() * 1000 - host.monotonic() * 1000
+        self._now_ms = 0.0
         self.has_upstreams = False
-        self._leaving: set[str] = set()  # as the list tells
+        self._draining: set[str] = set()  # servers that the list shows as draining
 
     def now(self) -> float:
-        """The module's clock."""
-        self._now = max(self._now, self._epoch_ms + self._monotonic() * 1000)
-        return self._now
+        """The decision module's clock: Unix time in milliseconds that never goes back."""
+        self._now_ms = max(self._now_ms, self._clock_offset_ms + self._monotonic() * 1000)
+        return self._now_ms
 
     def is_idle(self) -> bool:
         """Whether no request is open."""
         return not self._requests
 
-    # ---- happenings
+    # ---- input from sockets, discovery and operators
 
     def listed(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
-        """News of the list; the addresses come first, as the module may send at once."""
+        """Process an update of the server list, with the addresses of all members.
+
+        The addresses are stored first, because the module may send to a new server at once.
+        """
         self._upstreams.route(addresses)
-        self._listed(update)
+        self._process_list_update(update)
 
     def listed_part(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
-        """Changes of the list, with the addresses of those that have changed only."""
+        """Process changes of the server list, with the addresses of the changed members only."""
         self._upstreams.reroute([m.server for m in update.members], addresses)
-        self._listed(update)
+        self._process_list_update(update)
 
-    def _listed(self, update: face.ListUpdate) -> None:
+    def _process_list_update(self, update: face.ListUpdate) -> None:
         if update.kind in (face.ListKind.SAVED, face.ListKind.WHOLE):
-            self._leaving.clear()
+            self._draining.clear()
         for member in update.members:
             if member.readiness is face.Readiness.DRAINING:
-                self._leaving.add(member.server)
+                self._draining.add(member.server)
             else:
-                self._leaving.discard(member.server)
+                self._draining.discard(member.server)
         self.has_upstreams = self.has_upstreams or any(
             m.readiness is face.Readiness.READY for m in update.members
         )
@@ -137,14 +142,14 @@
         caller: Caller,
         free_connections: float,
     ) -> int:
-        """A request is there, with so many seconds to answer it; the result is its number."""
-        self._count += 1
-        number = self._count
-        request = self._requests[number] = _Open(caller, outgoing)
+        """Process a new request that has to be answered within `remaining` seconds; return its number."""
+        self._last_number += 1
+        number = self._last_number
+        request = self._requests[number] = _OpenRequest(caller, outgoing)
         upload = outgoing.upload
         is_open = upload is not None and not upload.whole
         if not is_open:
-            self._guard(number, request, remaining)
+            self._start_deadline_timer(number, request, remaining)
         if upload is not None:
             upload.on_spent = lambda: self._post(face.BodySpent(number))
         self._post(
@@ -152,106 +157,108 @@
         )
         return number
 
-    def _guard(self, number: int, request: _Open, remaining: float) -> None:
+    def _start_deadline_timer(self, number: int, request: _OpenRequest, remaining: float) -> None:
         loop = asyncio.get_running_loop()
-        request.due = loop.time() + remaining + self._grace
-        request.guard = loop.call_at(request.due, self._overdue, number)
+        request.due_s = loop.time() + remaining + self._answer_grace_s
+        request.deadline_timer = loop.call_at(request.due_s, self._on_deadline, number)
 
     def body_ended(self, number: int, remaining: float) -> None:
-        """The last byte of a request has come that arrived with its body open; its time runs from now."""
+        """Process the end of a body that was incomplete at `arrived`; the deadline is `remaining` seconds from now."""
         request = self._requests.get(number)
         if request is not None and not request.finished:
-            self._guard(number, request, remaining)
+            self._start_deadline_timer(number, request, remaining)
             self._post(face.BodyEnded(number, remaining * 1000))
-        elif request is not None and request.started is not None and not self._lasting:
-            self._guard(number, request, remaining)  # its answer began before
+        elif request is not None and request.started_attempt is not None and not self._lasting:
+            # The answer started before the body was complete.
+            self._start_deadline_timer(number, request, remaining)
 
     def told(self, event: face.Detached | face.Attached | face.Inherited | face.ListMoved) -> None:
-        """An operator's word on a server, what an older version has learned, or that the list has moved."""
+        """Pass on an operator's command, the state learned by an older version, or a move of the list."""
         self._post(event)
 
     def learned(self) -> face.Inherited:
-        """What a version that takes over from this one should know."""
+        """Return the learned state for a version that takes over from this one."""
         return self._balancer.learned(self.now())
 
     def turned_back(self, class_name: str) -> None:
-        """A request had no time left when it was taken up; for engines that count."""
+        """Record a request that was out of time before it was processed; does nothing here, subclasses count it."""
 
     def left(self, number: int) -> None:
-        """The caller has gone."""
+        """Process the disconnect of a request's client."""
         request = self._requests.get(number)
         if request is None:
             return
-        if request.started is not None:
-            request.started.cancel()
+        if request.started_attempt is not None:
+            request.started_attempt.cancel()
         elif self._finish(number, request):
             self._post(face.ClientLeft(number))
 
-    def _overdue(self, number: int) -> None:
-        """The module owes an answer in time; should it ever miss one, the caller still gets it.
+    def _on_deadline(self, number: int) -> None:
+        """Fail a request that the module has not answered in time, so that its client always gets an answer.
 
-        An answer that has begun ends short of its end, as the caller sees: unless it is long and comes all the same.
+        An answer that has started is cut off, which the client can detect, unless it may still continue past the
+        deadline because it is long and making progress.
         """
         request = self._requests.get(number)
-        if request is not None and request.started is not None:
+        if request is not None and request.started_attempt is not None:
             loop = asyncio.get_running_loop()
-            if (over := request.started.over_at(request.due)) > loop.time():
-                request.guard = loop.call_at(over, self._overdue, number)
+            if (cutoff_s := request.started_attempt.over_at(request.due_s)) > loop.time():
+                request.deadline_timer = loop.call_at(cutoff_s, self._on_deadline, number)
                 return
-            log.warning("request %d: its answer did not end in time", number)
-            request.started.end(Outcome.BROKEN)
+            log.warning("request %d: cutting off its answer, which did not end in time", number)
+            request.started_attempt.end(Outcome.BROKEN)
             return
-        log.error("request %d had no answer in time", number)
+        log.error("request %d was not answered by its deadline", number)
         self._abandon(number, 504)
 
     def _abandon(self, number: int, status: int) -> None:
-        """Fail a request without the module, which is told that nothing more is owed."""
+        """Fail a request without the module's decision, and tell the module that no answer is due any more."""
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.caller.fail(status)
             self._post(face.ClientLeft(number))
 
-    # ---- the module
+    # ---- calls to the decision module
 
     def _post(self, event: face.Event) -> None:
-        """Hand over an event; those that come up while one is handled wait for their turn."""
+        """Pass an event to the module; events that arise while another is handled are queued."""
         self._events.append(event)
-        if self._handling:
+        if self._is_handling:
             return
-        self._handling = True
+        self._is_handling = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._handling = False
+            self._is_handling = False
 
     def _handle(self, event: face.Event) -> None:
-        # A fault in one request must fail that request only: the others and the process go on.
+        # An exception must fail only the request that it belongs to; the other requests and the process continue.
         try:
             actions = self._balancer.handle(event, self.now())
         except Exception:
-            log.exception("the module failed on %s", type(event).__name__)
-            self._fault(event)
+            log.exception("the decision module failed on event %s", type(event).__name__)
+            self._fail_request_of(event)
             return
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
-                self._fault(action)
+                log.exception("failed to execute action %s", type(action).__name__)
+                self._fail_request_of(action)
 
-    def _fault(self, cause: face.Event | face.Action) -> None:
+    def _fail_request_of(self, cause: face.Event | face.Action) -> None:
         number = getattr(cause, "request", None)
         if number is not None:
             self._abandon(number, 500)
 
-    def _carry_out(self, action: face.Action) -> None:
+    def _execute(self, action: face.Action) -> None:
         match action:
             case face.Send():
                 self._send(action)
             case face.SetTimer(at, token):
                 delay = max(at - self.now(), 0.0) / 1000
-                asyncio.get_running_loop().call_later(delay, self._due, at, token)
+                asyncio.get_running_loop().call_later(delay, self._on_timer, at, token)
             case face.Cancel(number, index):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
@@ -267,17 +274,17 @@
             case face.Fail(number):
                 request = self._requests.get(number)
                 if request is not None and self._finish(number, request):
-                    if request.error is not None:
-                        request.caller.serve(request.error)
+                    if request.upstream_error is not None:
+                        request.caller.serve(request.upstream_error)
                     else:
-                        request.caller.fail(request.status)
+                        request.caller.fail(request.failure_status)
             case face.Subscribe():
                 self._subscribe()
             case face.Log(text):
                 log.info("%s", text)
 
-    def _due(self, at: float, token: str) -> None:
-        self._now = max(self._now, at)  # the loop's timers are coarse and may be a little early
+    def _on_timer(self, at: float, token: str) -> None:
+        self._now_ms = max(self._now_ms, at)  # the loop's timers are coarse and may fire slightly early
         self._post(face.TimerDue(token))
 
     def _send(self, action: face.Send) -> None:
@@ -285,29 +292,30 @@
         request = self._requests[number]
         index = len(request.attempts)
         request.attempts.append(None)
-        request.out += 1
+        request.unfinished_attempts += 1
 
         def done(outcome: Outcome, answer: Answer | None) -> None:
-            self._ended(number, request, index, server, outcome, answer)
+            self._on_attempt_ended(number, request, index, server, outcome, answer)
 
-        known = server in self._leaving  # when it was chosen: that is the module's business
+        was_draining = server in self._draining  # then the module chose it all the same, which is allowed
 
         def may_go() -> bool:
-            return self._may_go(number, request, known or server not in self._leaving)
+            return self._may_go(number, request, was_draining or server not in self._draining)
 
         def begin(answer: Answer, length: int | None, source: Source) -> Sink | None:
-            return self._begin(number, request, index, answer, length, source)
+            return self._start_answer(number, request, index, answer, length, source)
 
         attempt = self._upstreams.send(server, request.outgoing, action.timeout_ms / 1000, done, may_go)
         attempt.begin = begin
         if not attempt.is_over():
             request.attempts[index] = attempt
 
-    def _may_go(self, number: int, request: _Open, stays: bool) -> bool:
-        """Whether an attempt may still go out: asked when it is made, and again once its connection is there.
+    def _may_go(self, number: int, request: _OpenRequest, stays: bool) -> bool:
+        """Whether an attempt may still be sent; checked when it is made, and again once its connection is open.
 
-        Nothing is sent after the final answer, nor half a body, nor for a caller that has gone. Nor to a server that
-        does not stay: the list has told since the choice that it leaves, and the module chooses anew.
+        Nothing is sent after the final answer, nor a body of which part is gone, nor for a client that has
+        disconnected. Nor to a server that started draining after it was chosen (`stays` is false): the module then
+        chooses again.
         """
         upload = request.outgoing.upload
         if not stays or request.finished or (upload is not None and upload.spent):
@@ -317,55 +325,67 @@
             return False
         return True
 
-    def _begin(
-        self, number: int, request: _Open, index: int, answer: Answer, length: int | None, source: Source
+    def _start_answer(
+        self,
+        number: int,
+        request: _OpenRequest,
+        index: int,
+        answer: Answer,
+        length: int | None,
+        source: Source,
     ) -> Sink | None:
-        """An attempt's long answer begins; None if the request has its final answer already."""
+        """Start streaming an attempt's answer to the client; None if the request already has its final answer."""
         if request.finished:
             return None
-        request.started = request.attempts[index]
+        request.started_attempt = request.attempts[index]
         self._finish(number, request)
         sink = request.caller.begin(answer, length, source)
         self._post(face.AnswerStarted(number, index))
         return sink
 
-    def _ended(
-        self, number: int, request: _Open, index: int, server: str, outcome: Outcome, answer: Answer | None
+    def _on_attempt_ended(
+        self,
+        number: int,
+        request: _OpenRequest,
+        index: int,
+        server: str,
+        outcome: Outcome,
+        answer: Answer | None,
     ) -> None:
         attempt, request.attempts[index] = request.attempts[index], None
-        request.out -= 1
-        request.status = 504 if outcome is Outcome.TIMED_OUT else 502
+        request.unfinished_attempts -= 1
+        request.failure_status = 504 if outcome is Outcome.TIMED_OUT else 502
         if self._keeps_failures and outcome is Outcome.ERROR and answer is not None:
-            # That trying again is harmless is the module's to say, whoever words it.
-            request.error = answer if answer.status not in (429, 503) else None
+            # 429 and 503 tell the client that a retry is safe, which only the module can decide.
+            request.upstream_error = answer if answer.status not in (429, 503) else None
         try:
-            if attempt is not None and attempt is request.started:
-                if request.guard is not None:
-                    request.guard.cancel()
+            if attempt is not None and attempt is request.started_attempt:
+                if request.deadline_timer is not None:
+                    request.deadline_timer.cancel()
                 if outcome is Outcome.SERVED and attempt.sink is not None:
                     attempt.sink.finish()
             elif outcome is Outcome.SERVED and answer is not None and self._finish(number, request):
                 request.caller.serve(answer)
-        finally:  # the module is owed the outcome, whatever became of the answer
-            self._forget_if_over(number, request)
+        finally:  # the module must get the outcome even if delivering the answer raised
+            self._remove_if_done(number, request)
             self._post(face.AttemptEnded(number, index, server, outcome, request.finished))
 
-    def _finish(self, number: int, request: _Open) -> bool:
-        """Note the end of a request; True the first time, which is when its answer goes out.
+    def _finish(self, number: int, request: _OpenRequest) -> bool:
+        """Mark a request as finished; True only the first time, when its answer may be sent.
 
-        An answer that has begun stays guarded to its own end, unless it may last.
+        The deadline timer of a started answer keeps running until that answer ends, unless answers may outlive it.
         """
         if request.finished:
             return False
         request.finished = True
-        if request.guard is not None and (request.started is None or self._lasting):
-            request.guard.cancel()
+        if request.deadline_timer is not None and (request.started_attempt is None or self._lasting):
+            request.deadline_timer.cancel()
         for attempt in request.attempts:
-            if attempt is not None and attempt is not request.started and not attempt.is_written():
-                attempt.end(Outcome.NOT_SENT)  # nothing may be sent after the final answer
-        self._forget_if_over(number, request)
+            if attempt is not None and attempt is not request.started_attempt and not attempt.is_written():
+                attempt.end(Outcome.NOT_SENT)  # nothing may be sent upstream after the final answer
+        self._remove_if_done(number, request)
         return True
 
-    def _forget_if_over(self, number: int, request: _Open) -> None:
-        if request.finished and not request.out:
+    def _remove_if_done(self, number: int, request: _OpenRequest) -> None:
+        if request.finished and not request.unfinished_attempts:
             self._requests.pop(number, None)
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -6,7 +6,7 @@
 import re
 from typing import Any
 
-from passpost.engine import Caller, Engine, _Open
+from passpost.engine import Caller, Engine, _OpenRequest
 from passpost.http1 import Answer
 from passpost.ops.counting import CountingEngine
 from passpost.trace.model import End, Entry, Try, write
@@ -51,7 +51,7 @@
         """As the engine's."""
         found = _TXN.search(outgoing.head)
         txn = found[1].decode("latin-1") if found is not None else "-"
-        number = self._count + 1
+        number = self._last_number + 1
         self._traces[number] = _Trace(txn, class_name, self.now())
         written = outgoing.written
 
@@ -63,7 +63,7 @@
         outgoing.written = note
         return super().arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
-    def _carry_out(self, action: face.Action) -> None:
+    def _execute(self, action: face.Action) -> None:
         match action:
             case face.Refuse(number):
                 self._note_end(number, End.REFUSED)
@@ -71,7 +71,7 @@
                 self._note_end(number, End.FAILED)
             case face.Send(number) if (trace := self._traces.get(number)) is not None:
                 trace.sent[len(self._requests[number].attempts)] = self.now()
-        super()._carry_out(action)
+        super()._execute(action)
 
     def _send(self, action: face.Send) -> None:
         super()._send(action)
@@ -94,8 +94,14 @@
         if request is not None and trace is not None and not request.finished:
             trace.end, trace.ended = end, self.now()
 
-    def _ended(
-        self, number: int, request: _Open, index: int, server: str, outcome: Outcome, answer: Answer | None
+    def _on_attempt_ended(
+        self,
+        number: int,
+        request: _OpenRequest,
+        index: int,
+        server: str,
+        outcome: Outcome,
+        answer: Answer | None,
     ) -> None:
         trace = self._traces.get(number)
         if trace is not None:
@@ -106,11 +112,11 @@
             trace.tries[index] = Try(server, round(sent - trace.at), round(now - sent), said, written)
             if outcome is Outcome.SERVED and not request.finished:
                 trace.end, trace.ended = End.SERVED, now
-        super()._ended(number, request, index, server, outcome, answer)
+        super()._on_attempt_ended(number, request, index, server, outcome, answer)
 
-    def _forget_if_over(self, number: int, request: _Open) -> None:
-        super()._forget_if_over(number, request)
-        if not request.finished or request.out:
+    def _remove_if_done(self, number: int, request: _OpenRequest) -> None:
+        super()._remove_if_done(number, request)
+        if not request.finished or request.unfinished_attempts:
             return
         if (trace := self._traces.pop(number, None)) is not None:
             tries = tuple(trace.tries[i] for i in sorted(trace.tries))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -350,7 +350,11 @@
             client.send(X_Remaining="0.3")
             await client.reader.readuntil(b"\r\n\r\n")
             (request,) = b.node.engine._requests.values()
-            await until(lambda: asyncio.get_running_loop().time() > request.due and request.guard is not None)
+            await until(
+                lambda: (
+                    asyncio.get_running_loop().time() > request.due_s and request.deadline_timer is not None
+                )
+            )
             await asyncio.sleep(0)
             rest.set()
             assert len(await client.reader.readexactly(400_000)) == 400_000
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -167,7 +167,7 @@
             bad.writer.write(raw)
             answer = await bad.answer()
             assert answer is not None and answer.status == status
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
             fine = await good.ask()
             assert fine is not None and fine.status == 200
 
@@ -201,7 +201,7 @@
             client.writer.write(head + framing + b"\r\n" + HIDDEN)
             raw = await client.reader.read()
             assert raw.startswith(b"HTTP/1.1 400 ") and raw.count(b"HTTP/1.1 ") == 1
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
 
     run(test())
 
