--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -63,7 +63,9 @@
 
 async def measure(size: int, sliced: bool) -> dict[str, Any]:
     """Milliseconds, over some lists."""
-    discovery.MANY, discovery.LONG_LIST = (100, 16 * 1024) if sliced else (sys.maxsize, sys.maxsize)
+    discovery.SLICED_LIST_MEMBERS, discovery.SLICED_LIST_BYTES = (
+        (100, 16 * 1024) if sliced else (sys.maxsize, sys.maxsize)
+    )
     agent = Agent()
     server = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
     bodies = [json.dumps(listing(r, size)).encode() for r in range(2, TURNS + 3)]
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -52,13 +52,13 @@
 
 def late(script: Script, seed: int, patience: float | None) -> int:
     """Sends after the grace, with calls given up after so many seconds, or with the program as it is."""
-    before = discovery.ANSWER_S, discovery.SPARE_S
+    before = discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S
     if patience is not None:
-        discovery.ANSWER_S, discovery.SPARE_S = patience, 0.0
+        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = patience, 0.0
     try:
         found = play(script, seed)
     finally:
-        discovery.ANSWER_S, discovery.SPARE_S = before
+        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = before
     if found.faults:
         raise SystemExit(f"seed {seed}: {found.faults[0]}")
     return sum(b.rule == "drain" for b in found.breaks)
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -71,8 +71,10 @@
 def test_the_night_shows_calls_that_are_given_up_when_discovery_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "ANSWER_S", 2.0)  # discovery's own bound on a call that waits for its turn
-    monkeypatch.setattr(discovery, "SPARE_S", 0.0)
+    monkeypatch.setattr(
+        discovery, "ANSWER_TIMEOUT_S", 2.0
+    )  # discovery's own bound on a call that waits for its turn
+    monkeypatch.setattr(discovery, "QUEUE_MARGIN_S", 0.0)
     found = broken(play(roll(100, 12.5, latency_ms=5.0), seed=1))
     assert found and all("after it was told of its drain" in text for text in found)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -277,7 +277,7 @@
 
 def test_a_pushed_list_is_read_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
     # Nobody asks for a list that is pushed: read only when asked for, it stayed as it was at the start.
-    monkeypatch.setattr(module, "POLL_S", 0.01)
+    monkeypatch.setattr(module, "AGENT_POLL_S", 0.01)
 
     async def test() -> None:
         agent = FakeServer(answer_json(listing(2, member("a", "127.0.0.1:1"))))
@@ -321,7 +321,7 @@
 
     first = True
 
-    def _overdue(self, wait_ms: int) -> float:
+    def _overdue_after_s(self, wait_ms: int) -> float:
         first, self.first = self.first, False
         return 0.01 if first else 3_600.0
 
@@ -350,7 +350,9 @@
     for wait_ms in (0, 1_000, 10_000):
         told = wait_ms / 1000 + 2.0 if wait_ms else 6.0
         assert (
-            wait_ms / 1000 < discovery._overdue(wait_ms) <= (wait_ms / 1000 + 0.5 if pushed else told - 1.0)
+            wait_ms / 1000
+            < discovery._overdue_after_s(wait_ms)
+            <= (wait_ms / 1000 + 0.5 if pushed else told - 1.0)
         )
 
 
@@ -405,9 +407,9 @@
     async def test() -> None:
         async with following() as (server, discovery, _):
             await until(lambda: len(server.got) == 1)
-            place = discovery._place
+            place = discovery._current
             discovery.stop()
-            discovery._ask_beside(place, 10_000)
-            assert discovery._place is place
+            discovery._start_parallel_call(place, 10_000)
+            assert discovery._current is place
 
     run(test())
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -149,7 +149,7 @@
 def test_a_list_of_ten_thousand_comes_in_slices_and_a_broken_one_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "POLL_S", 0.001)
+    monkeypatch.setattr(module, "AGENT_POLL_S", 0.001)
 
     async def test() -> None:
         agent, heard = FakeServer(answer_json(many(10_000, 2))), Heard()
@@ -196,7 +196,7 @@
 
 
 def test_requests_are_served_while_a_long_list_changes_over_and_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "POLL_S", 0.001)
+    monkeypatch.setattr(module, "AGENT_POLL_S", 0.001)
 
     async def test() -> None:
         upstream = FakeServer()
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -144,7 +144,7 @@
 
     def is_alive(self) -> bool:
         """Whether a call is out or planned."""
-        return self.pushed or self.planned > 0 or self.discovery._place.is_followed()
+        return self.pushed or self.planned > 0 or self.discovery._current.is_active()
 
     def heard_of_drain(self) -> float | None:
         told = (t for t, u in self.heard for m in u.members if m.readiness is Readiness.DRAINING)
