--- a/passpost/streams.py
+++ b/passpost/streams.py
@@ -1,7 +1,7 @@
-"""Long bodies on their way: a request's to an upstream, an answer's to a caller. Bytes are held back, never piled up.
+"""Streaming of long request and answer bodies with back-pressure, so that few bytes are buffered.
 
-Whoever writes is told to hold while whoever reads is slower. A body's first part is kept until some of it has gone
-out; from then on the request can't be sent again, which the module is told.
+The sending side is paused while the receiving side is slower. The first part of a request body is
+kept until some of it has been sent upstream; from then on the request can't be sent again, which the module is told.
 """
 
 from __future__ import annotations
@@ -10,107 +10,106 @@
 from collections.abc import Callable
 from typing import Protocol
 
-LONG = (
-    64 * 1024
-)  # a body beyond this is passed on as it comes; one up to it is kept whole and can be sent again
-AHEAD = 64 * 1024  # bytes of a request's body that wait here at most before its caller is held
+# Bodies above this many bytes are streamed; those up to it are buffered whole, and such requests can be sent again.
+LONG = 64 * 1024
+AHEAD = 64 * 1024  # bytes of a request's body that are buffered before reading from its client is paused
 
 
 class Reader(Protocol):
-    """Where a request's body goes."""
+    """The upstream connection that sends a request's body."""
 
     def ready(self) -> None:
-        """There are bytes, or the end, to take."""
+        """Called when there are bytes to take, or when the body is complete."""
 
 
 class Upload:
-    """The body of one request between its caller and the upstream that gets it."""
+    """The body of one request, on its way from the client to an upstream."""
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
-        """With no `length` it is chunked. `hold` stops the caller's bytes, or lets them come again."""
+        """`length`: bytes in the body, None if chunked. `hold` pauses (True) or resumes reading from the client."""
         self.length, self.seen = length, 0
-        self.whole = False  # its last byte has come
-        self.spent = False  # part of it has been taken: it can't be sent again
+        self.whole = False  # the last byte has been received
+        self.spent = False  # part of it has been taken, so the request can't be sent again
         self.on_spent: Callable[[], None] = lambda: None
-        self._hold, self._held = hold, False
+        self._hold, self._is_held = hold, False
         self._pieces: deque[bytes] = deque()
-        self._size = 0
+        self._buffered_bytes = 0
         self._reader: Reader | None = None
 
     def feed(self, data: bytes) -> None:
-        """A piece has come."""
+        """Add received bytes."""
         self.seen += len(data)
-        self._size += len(data)
+        self._buffered_bytes += len(data)
         self._pieces.append(data)
         if self._reader is not None:
             self._reader.ready()
-        self._set_hold()
+        self._update_hold()
 
     def end(self) -> None:
-        """The last byte has come."""
+        """Mark the body as completely received."""
         self.whole = True
         if self._reader is not None:
             self._reader.ready()
 
     def attach(self, reader: Reader) -> None:
-        """From now on an upstream's connection takes the pieces."""
+        """Let `reader`, an upstream's connection, take the body from now on."""
         self._reader = reader
         reader.ready()
 
     def detach(self, reader: Reader) -> None:
-        """It takes no more."""
+        """Stop notifying `reader`, if it is the current one."""
         if self._reader is reader:
             self._reader = None
 
     def take(self) -> bytes | None:
-        """The next piece, if there is one."""
+        """Remove and return the next piece, or None. Taking a piece makes the body spent."""
         if not self._pieces:
             return None
         piece = self._pieces.popleft()
-        self._size -= len(piece)
+        self._buffered_bytes -= len(piece)
         if not self.spent:
             self.spent = True
             self.on_spent()
-        self._set_hold()
+        self._update_hold()
         return piece
 
     def is_ending(self) -> bool:
-        """Whether the next piece is the last of a body whose length was told."""
+        """Whether the next piece is the last one of a body of known length."""
         return self.length is not None and self.seen >= self.length and len(self._pieces) == 1
 
     def is_empty(self) -> bool:
-        """Whether all that has come is taken."""
+        """Whether all received bytes have been taken."""
         return not self._pieces
 
     def drop(self) -> None:
-        """Nobody takes it any more; what still comes is thrown away by the caller's connection."""
+        """Discard the body; the client's connection discards bytes that arrive later."""
         self._reader = None
         self._pieces.clear()
-        self._size = 0
-        self._set_hold()
+        self._buffered_bytes = 0
+        self._update_hold()
 
-    def _set_hold(self) -> None:
-        held = self._size >= AHEAD
-        if held is not self._held:
-            self._held = held
+    def _update_hold(self) -> None:
+        held = self._buffered_bytes >= AHEAD
+        if held is not self._is_held:
+            self._is_held = held
             self._hold(held)
 
 
 class Sink(Protocol):
-    """Where an answer's body goes."""
+    """Receives an answer's body on the client's side."""
 
     def write(self, data: bytes) -> None:
-        """A piece."""
+        """Send a piece of the body."""
 
     def finish(self) -> None:
-        """That was all."""
+        """End the body, which is complete."""
 
     def cut(self) -> None:
-        """The rest does not come, and whoever reads must be able to tell."""
+        """End an incomplete body in a way that the client can detect."""
 
 
 class Source(Protocol):
-    """Where an answer's body comes from."""
+    """The upstream connection that an answer's body comes from."""
 
     def hold(self, on: bool) -> None:
-        """Stop its bytes, or let them come again."""
+        """Pause (True) or resume (False) reading from it."""
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -1,4 +1,4 @@
-"""Which requests are taken: what a caller sends must pass `check` before anything else hears of it."""
+"""Validation of client requests: every request must pass `check` before it is processed further."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 READY = b"/health/ready"
 
 SINGLE = frozenset({b"host", b"content-length", b"transfer-encoding"})
-_PLATFORM = SINGLE | {b"x-txn", b"x-org", b"x-remaining", b"idempotency-key"}
-_DROPPED = HOP_BY_HOP | {b"x-remaining"}
-_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
-TOKEN = re.compile(rb"[\x21-\x7e]+")  # for ids and keys: upstreams compare them
+_PLATFORM_SINGLE = SINGLE | {b"x-txn", b"x-org", b"x-remaining", b"idempotency-key"}
+_NOT_FORWARDED = HOP_BY_HOP | {b"x-remaining"}
+_FIELD_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
+TOKEN = re.compile(rb"[\x21-\x7e]+")  # for ids and idempotency keys, which upstreams compare byte for byte
 _TARGET = re.compile(rb"/[\x21-\x7e]*")
-_ABSOLUTE = re.compile(rb"(?i:https?)://[^/?#@\s]+")
-_LENGTH = re.compile(rb"[0-9]{1,18}")
+_SCHEME_AND_HOST = re.compile(rb"(?i:https?)://[^/?#@\s]+")
+_CONTENT_LENGTH = re.compile(rb"[0-9]{1,18}")
 NUMBER = re.compile(rb"[-+]?([0-9]+\.?[0-9]*|\.[0-9]+)([eE][-+]?[0-9]+)?")
 
 
 class BadRequestError(Exception):
-    """A request that is answered with an error, ends its connection and goes no further."""
+    """A request that is answered with `status`, after which its connection is closed; it is not forwarded."""
 
     def __init__(self, status: int, reason: str = "") -> None:
         super().__init__(status, reason)
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """What the head of a good request says; `remaining` is in seconds from its last byte on."""
+    """A valid request head; `remaining` is the time limit in seconds, counted from the request's last byte."""
 
     class_name: str
     txn: bytes
@@ -43,16 +43,16 @@
     target: bytes
     passed_on: Headers
     deadline_header: bytes = b"X-Remaining"
-    idle_s: float = 0.0  # above 0: its answer is a stream that may stand still for so long
+    idle_s: float = 0.0  # above 0: the answer is streamed and may pause for so many seconds
 
 
-# A request's method, target, version and headers; None for the question whether we are ready.
+# Takes a request's method, target, version and headers; returns None for a readiness check.
 Check = Callable[[bytes, bytes, str, Headers], Call | None]
 
 
 def origin_form(target: bytes) -> bytes:
-    """A target without the scheme and host that a caller may write before it (RFC 9112, 3.2.2)."""
-    match = _ABSOLUTE.match(target) if target[:1] != b"/" else None
+    """Strip the scheme and host from a request target in absolute form (RFC 9112, section 3.2.2)."""
+    match = _SCHEME_AND_HOST.match(target) if target[:1] != b"/" else None
     if match is None:
         return target
     rest = target[match.end() :]
@@ -67,47 +67,47 @@
     single: frozenset[bytes],
     dropped: frozenset[bytes],
 ) -> tuple[dict[bytes, bytes], Headers]:
-    """The fields of a head that can be read in one way only, by lower-case name, and the headers that go on.
+    """Validate a request head; return its fields by lower-case name, and the headers to forward.
 
-    Whatever could be read in two ways is refused (BadRequestError), so that no upstream can read it in the other.
-    `single` names the fields that may stand there once only, SINGLE among them; `dropped` those that end here,
-    HOP_BY_HOP among them.
+    Ambiguous messages raise BadRequestError, so that no upstream can interpret them differently than the balancer.
+    `single` names the fields that may occur only once and includes SINGLE; `dropped` names the fields that are not
+    forwarded and includes HOP_BY_HOP. `max_body` is the limit for Content-Length in bytes.
     """
     fields: dict[bytes, bytes] = {}
-    kept: Headers = []
-    values, size, twice = [], len(target), False
+    forwarded: Headers = []
+    values, size, has_duplicate = [], len(target), False
     for pair in headers:
         name, value = pair
-        low = name.lower()
-        if low in fields and low in single:
-            twice = True
-        fields[low] = value
+        lower_name = name.lower()
+        if lower_name in fields and lower_name in single:
+            has_duplicate = True
+        fields[lower_name] = value
         values.append(value)
         size += len(name) + len(value) + 4
-        if low not in dropped:
-            kept.append(pair)
+        if lower_name not in dropped:
+            forwarded.append(pair)
     if size > MAX_HEAD:
         raise BadRequestError(431)
-    if twice or not _TARGET.fullmatch(target) or not _VALUE.fullmatch(b"".join(values)):
+    if has_duplicate or not _TARGET.fullmatch(target) or not _FIELD_VALUE.fullmatch(b"".join(values)):
         raise BadRequestError(400)
     if b"connection" in fields:
-        kept = without_named(kept, headers)
+        forwarded = without_named(forwarded, headers)
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
-    if length is not None and (coding is not None or not _LENGTH.fullmatch(length)):
-        raise BadRequestError(400)  # with both, one of them hides a second request from somebody
+    if length is not None and (coding is not None or not _CONTENT_LENGTH.fullmatch(length)):
+        raise BadRequestError(400)  # a head with both is a means of request smuggling
     if coding is not None and (coding.lower() != b"chunked" or version != "1.1"):
         raise BadRequestError(400)
     if length is not None and int(length) > max_body:
         raise BadRequestError(413)
-    return fields, kept
+    return fields, forwarded
 
 
 def check(
     method: bytes, target: bytes, version: str, headers: Headers, classes: Mapping[str, RequestClass]
 ) -> Call | None:
-    """The call that a head stands for, None for the question whether we are ready; or BadRequestError."""
+    """Return the platform's call that a head describes, None for a readiness check; or raise BadRequestError."""
     target = origin_form(target)
-    fields, passed_on = check_message(target, version, headers, MAX_LONG, _PLATFORM, _DROPPED)
+    fields, passed_on = check_message(target, version, headers, MAX_LONG, _PLATFORM_SINGLE, _NOT_FORWARDED)
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
     if method not in (b"GET", b"POST"):
         raise BadRequestError(405)
@@ -123,13 +123,13 @@
         raise BadRequestError(400)
     txn, key = fields.get(b"x-txn", b""), fields.get(b"idempotency-key")
     if not TOKEN.fullmatch(txn) or (key is not None) != (cls.effect is Effect.KEYED):
-        raise BadRequestError(400)  # without a key nobody could drop a repeat
+        raise BadRequestError(400)  # without its key, a repeat could not be recognized and dropped
     if key is not None and not TOKEN.fullmatch(key):
         raise BadRequestError(400)
     remaining = cls.deadline_ms / 1000
-    if (told := fields.get(b"x-remaining")) is not None:
-        if not NUMBER.fullmatch(told) or not math.isfinite(float(told)):
+    if (remaining_field := fields.get(b"x-remaining")) is not None:
+        if not NUMBER.fullmatch(remaining_field) or not math.isfinite(float(remaining_field)):
             raise BadRequestError(400)
-        remaining = min(float(told), remaining)
+        remaining = min(float(remaining_field), remaining)
     tenant = fields[b"x-org"].decode("latin-1") if b"x-org" in fields else None
     return Call(cls.name, txn, tenant, remaining, method, target, passed_on)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -272,7 +272,7 @@
                 count += 1
                 await asyncio.sleep(0)
             upload = caller._current.upload  # type: ignore[union-attr]
-            assert upload is not None and upload._size < AHEAD + 1024 * 1024
+            assert upload is not None and upload._buffered_bytes < AHEAD + 1024 * 1024
             go_on.set()
             left = 32 * MB - 64 * 1024 * count
             client.writer.write(b"x" * left)
