--- a/passpost/__init__.py
+++ b/passpost/__init__.py
@@ -1,1 +1,1 @@
-"""A load balancer on real sockets; the decisions are those of `umberworks.rules`."""
+"""A load balancer for HTTP/1.1: sockets and processes; its decisions are made by `umberworks.rules`."""
--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -1,4 +1,4 @@
-"""One balancer: `python -m passpost`, told by the environment where its configuration lies."""
+"""Runs one balancer: `python -m passpost`, with the path of its configuration in `$EDGE_CONFIG`."""
 
 from __future__ import annotations
 
@@ -18,18 +18,21 @@
 log = logging.getLogger("passpost")
 
 
-class Beside(Protocol):
-    """What an operator's file adds to the platform's balancer."""
+class Sidecar(Protocol):
+    """The applications of an operator's file, run in the same process as the platform's balancer."""
 
     def reload(self) -> None:
         """Read the file again."""
 
     async def stop(self) -> None:
-        """Answer what was taken, then close everything."""
+        """Answer all accepted requests, then close everything."""
 
 
-def beside(path: str) -> Beside:
-    """Carry the applications of an operator's file in this process too. Loaded here, as the platform has none."""
+def start_sidecar(path: str) -> Sidecar:
+    """Run the applications of an operator's file in this process too.
+
+    The modules for that are imported only here, because the platform itself has no such file.
+    """
     try:
         from passpost.operator import sidecar
         from passpost.operator.reader import UnreadableError
@@ -41,10 +44,11 @@
         raise ConfigError(str(error)) from None
 
 
-def started(config: Config, module: type[Balancer]) -> Node:
-    """A node; one that operators call where there is an address for it, and a traced one with `$PASSPOST_TRACE`.
+def start_node(config: Config, module: type[Balancer]) -> Node:
+    """Create and start the node that the configuration and `$PASSPOST_TRACE` ask for.
 
-    What either needs is loaded here, as the platform's older days have no operators, and a day in service no trace.
+    With an address for operators' calls it accepts them, with `$PASSPOST_TRACE` it logs traces. The modules for these
+    are imported only here: older platforms have no operators' calls, and normal service needs no traces.
     """
     traced = bool(os.environ.get("PASSPOST_TRACE"))
     if config.ops is None:
@@ -66,23 +70,23 @@
     return node.OperatedNode(config, folder, taken, module, TracedCountingEngine, TracedDiscovery)
 
 
-def chosen_module() -> type[Balancer]:
-    """The decision module; with `$PASSPOST_FIGURES` one that also writes its figures to the log."""
+def balancer_class() -> type[Balancer]:
+    """The class of the decision module; with `$PASSPOST_FIGURES` one that also logs its figures."""
     if not os.environ.get("PASSPOST_FIGURES"):
         return Balancer
-    from passpost.recorder import Recorded
+    from passpost.recorder import RecordingBalancer
 
-    return Recorded
+    return RecordingBalancer
 
 
 async def serve(path: str, operator: str | None = None) -> None:
-    """Run until SIGTERM, by the configuration at `path`; SIGHUP reads it again."""
+    """Run a balancer with the configuration at `path` until SIGTERM or SIGINT; SIGHUP reads the file again."""
     node: Node | None = None
-    carried: Beside | None = None
+    sidecar: Sidecar | None = None
 
     def reload() -> None:
         if node is None:
-            return  # the file is still to be read
+            return  # still starting: the file has yet to be read
         try:
             config = load(path)
         except ConfigError as error:
@@ -91,24 +95,24 @@
         else:
             log.info("configuration read again; discovery at %s:%d", *config.discovery)
             node.reload(config)
-        if carried is not None:
-            carried.reload()
+        if sidecar is not None:
+            sidecar.reload()
 
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     signals = Signals(loop, reload, stop.set)
     config = load(path)
-    node = started(config, chosen_module())
+    node = start_node(config, balancer_class())
     log.info("%s serves on %s:%d", config.name, config.listen[0], node.server.port)
     if operator is not None:
-        carried = beside(operator)
+        sidecar = start_sidecar(operator)
     await stop.wait()
     log.info("stopping: finishing what was taken")
-    await asyncio.gather(node.stop(), *([carried.stop()] if carried is not None else []))
+    await asyncio.gather(node.stop(), *([sidecar.stop()] if sidecar is not None else []))
     signals.ignore()
 
 
 def main() -> int:
-    """Start as the environment says; the result is the exit status."""
+    """Run the program; return its exit status."""
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     match sys.argv[1:]:
         case []:
@@ -123,7 +127,7 @@
     except ConfigError as error:
         print(f"passpost: {error}", file=sys.stderr)
         return 2
-    except OSError as error:  # most likely the address to listen on
+    except OSError as error:  # most likely the address to listen on is not available
         print(f"passpost: {error}", file=sys.stderr)
         return 1
     return 0
--- a/passpost/config.py
+++ b/passpost/config.py
@@ -1,4 +1,4 @@
-"""The configuration file as typed values."""
+"""Reads the platform's configuration file into typed values."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class ConfigError(Exception):
-    """The configuration can't be used, with a plain reason."""
+    """The configuration can't be used; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What one balancer is told at its start; spans are in seconds."""
+    """The configuration of one balancer; time spans are in seconds."""
 
     name: str
     listen: Address
@@ -34,11 +34,11 @@
     connect_timeout: float
     idle_timeout: float
     answer_grace: float
-    ops: Address | None = None  # where operators call, if they do
+    ops: Address | None = None  # address for operators' calls, if enabled
 
 
 def flatten(value: Any, path: str = "") -> wire.Fields:
-    """Settings as the simulator's first message spells them: one path=value for each plain value."""
+    """Flatten nested settings into the form of the simulator's first message: a path and a text per scalar value."""
     if isinstance(value, dict):
         prefix = path + "." if path else ""
         return {k: v for name, item in value.items() for k, v in flatten(item, prefix + name).items()}
@@ -55,7 +55,7 @@
 
 
 def load(path: str) -> Config:
-    """Read the file; raises ConfigError with one plain line on whatever is wrong with it."""
+    """Read the configuration file; raises ConfigError with a one-line message if it can't be read or is invalid."""
     try:
         with open(path, encoding="utf-8") as file:
             return read(json.load(file))
@@ -65,11 +65,11 @@
 
 
 def read(data: dict[str, Any]) -> Config:
-    """The file's object as typed values."""
-    facts = flatten(data["settings"])
+    """Convert the parsed file; raises ValueError, LookupError, TypeError or the like if it is invalid."""
+    flat_settings = flatten(data["settings"])
     sockets = int(data["limits"]["sockets"])
     if sockets < 64:
-        raise ValueError(f"limits.sockets: {sockets} is too few to serve with")
+        raise ValueError(f"limits.sockets: {sockets} is below the minimum of 64")
     return Config(
         name=str(data["name"]),
         listen=parse_address(data["listen"]),
@@ -77,9 +77,9 @@
         seed=int(data["seed"], 16),
         sockets=sockets,
         known=parse_listing(data.get("known") or {"revision": 0, "complete": True, "members": []}),
-        settings=wire.read_settings(facts, log.warning),
-        connect_timeout=wire.number(facts, "limits.connectTimeout") / 1000,
-        idle_timeout=wire.number(facts, "limits.connIdle") / 1000,
+        settings=wire.read_settings(flat_settings, log.warning),
+        connect_timeout=wire.number(flat_settings, "limits.connectTimeout") / 1000,
+        idle_timeout=wire.number(flat_settings, "limits.connIdle") / 1000,
         ops=parse_address(ops) if (ops := data.get("ops") or os.environ.get("EDGE_OPS")) else None,
-        answer_grace=wire.number(facts, "contract.graceToAnswer") / 1000,
+        answer_grace=wire.number(flat_settings, "contract.graceToAnswer") / 1000,
     )
--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -314,7 +314,7 @@
         from passpost import lists
 
         whole, reported = listing.complete, False
-        slices = lists.changes(self.members, self._addresses, listing) if whole else lists.cut(listing)
+        slices = lists.changes(self.members, self._addresses, listing) if whole else lists.split(listing)
         for members, addresses in slices:
             for member in members:
                 if member.readiness is Readiness.GONE:
@@ -334,11 +334,11 @@
             return parse_listing(json.loads(body))
         from passpost import lists
 
-        reading = lists.Reading()
-        for _ in lists.read(body.decode(), reading):
+        partial = lists.PartialListing()
+        for _ in lists.read(body.decode(), partial):
             await asyncio.sleep(0)
-        assert reading.listing is not None
-        return reading.listing
+        assert partial.listing is not None
+        return partial.listing
 
     async def _call(self, connection: DiscoveryConnection, revision: int | None, wait_ms: int) -> Listing:
         target = _PATH if revision is None else f"{_PATH}?after={revision}&wait_ms={wait_ms}"
--- a/passpost/host.py
+++ b/passpost/host.py
@@ -1,8 +1,8 @@
-"""What a balancer asks of its machine beyond the event loop: clocks, listening, and a look at a socket.
+"""The operating system services that a balancer uses beyond the event loop: clocks, listening, socket state.
 
-Everything else (timers, connections, signals) goes through asyncio's loop. A second implementation of this
-class and of the loop is all it takes to run the balancer elsewhere, as on the rehearsal's simulated clock and
-network; nothing else in the balancer may call `time`, `select` or `socket` for what they do.
+Everything else (timers, connections, signals) goes through asyncio's event loop. To run the balancer elsewhere, as on
+the rehearsal's simulated clock and network, it is enough to implement this class and the loop; so nothing else in the
+balancer may use `time`, `select` or `socket` for these services.
 """
 
 from __future__ import annotations
@@ -19,56 +19,56 @@
 
 
 class Listener(Protocol):
-    """A listening socket as the callers' side uses it; the loop's `add_reader` takes it too."""
+    """A listening socket as the listener uses it; it can also be passed to the loop's `add_reader`."""
 
     def accept(self) -> tuple[Any, Any]:
-        """A connection that waits; BlockingIOError if there is none."""
+        """Accept a queued connection; raises BlockingIOError if there is none."""
 
     def fileno(self) -> int:
-        """Its descriptor; -1 once closed."""
+        """The file descriptor; -1 once closed."""
 
     def getsockname(self) -> Any:
-        """Host and port."""
+        """The host and port that it listens on."""
 
     def close(self) -> None:
-        """Listen no more; what still waits is reset."""
+        """Stop listening; connections still in the queue are reset."""
 
 
 class Host:
-    """The real machine."""
+    """The services of the operating system itself."""
 
-    # The functions themselves: a call through a method of ours would cost on every request.
+    # The functions themselves: the extra call of a wrapper would cost time on every request.
     monotonic: Callable[[], float] = staticmethod(time.monotonic)  # seconds; never goes back
     unix: Callable[[], float] = staticmethod(time.time)  # seconds; may be set back or forward at any time
 
     reuse_port = False  # whether another process may listen on the same address
-    accept_at_once = 64  # so many new connections, and then the others have their turn
+    accept_at_once = 64  # connections accepted in a row before others are served
 
     def listen(self, address: Address, backlog: int) -> Listener:
-        """A listening socket that does not block; OSError if the address can't be had."""
+        """Open a non-blocking listening socket; raises OSError if the address is not available."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         listener = socket.create_server(address, backlog=backlog, family=family, reuse_port=self.reuse_port)
         listener.setblocking(False)
         return listener
 
     def watcher(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
-        """Called with 0 it says at once whether the connection has bytes or an end that nobody has read."""
-        return _look(transport, select.POLLIN | select.POLLRDHUP)
+        """Return a function that, called with 0, is true if the connection has unread bytes or an unread end."""
+        return _poll_function(transport, select.POLLIN | select.POLLRDHUP)
 
     def ending(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
-        """Called with 0 it says at once whether the other side has ended its sending, also behind bytes unread."""
-        return _look(transport, select.POLLRDHUP)
+        """Return a function that, called with 0, is true if the peer has ended sending, even if bytes are unread."""
+        return _poll_function(transport, select.POLLRDHUP)
 
     def was_reset(self, transport: asyncio.BaseTransport) -> bool:
-        """Whether a connection that has ended was reset, and not closed.
+        """Whether a connection that has ended was reset rather than closed.
 
-        EPIPE is the kernel's word for a reset that came behind the other side's close.
+        EPIPE doesn't count: the kernel reports it for a reset that follows the peer's orderly close.
         """
         error = transport.get_extra_info("socket").getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return error not in (0, errno.EPIPE)
 
 
-def _look(transport: asyncio.BaseTransport, events: int) -> Callable[[int], object]:
+def _poll_function(transport: asyncio.BaseTransport, events: int) -> Callable[[int], object]:
     poll = select.poll()
     poll.register(transport.get_extra_info("socket"), events)
     return poll.poll
--- a/passpost/listing.py
+++ b/passpost/listing.py
@@ -1,4 +1,4 @@
-"""What discovery tells: a listing of upstreams, whole or in changes, from its JSON form. No I/O."""
+"""Parses discovery's JSON answers: the whole server list or changes of it. No I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """One answer of discovery: members and their addresses, whole or only what changed."""
+    """One answer of discovery: all members with their addresses, or if not `complete` the changed ones."""
 
     revision: int
     complete: bool
@@ -24,22 +24,22 @@
 
 
 def parse_address(text: str) -> Address:
-    """An IP address and port; there is no DNS."""
+    """Parse an IP address and port; host names are not resolved. Raises ValueError."""
     host, _, port = text.rpartition(":")
     host = host.strip("[]")
     ipaddress.ip_address(host)
     if not 0 <= int(port) < 65536:
-        raise ValueError(f"{text!r} holds no port")
+        raise ValueError(f"{text!r} has no valid port")
     return host, int(port)
 
 
 def parse_listing(data: Any) -> Listing:
-    """A listing in discovery's form; raises ValueError, TypeError or LookupError if it is not one."""
+    """Parse decoded JSON in discovery's format; raises ValueError, TypeError or LookupError if it is invalid."""
     members, addresses = [], {}
     for entry in data["members"]:
         phase = entry["phase"]
         if phase not in _PHASES:
-            raise ValueError(f"phase {phase!r} has no meaning")
+            raise ValueError(f"phase {phase!r} is unknown")
         member = Member(
             server=str(entry["id"]),
             readiness=_PHASES[phase],
@@ -50,7 +50,7 @@
             kind=str(entry.get("flavor", "")),
         )
         if not math.isfinite(member.up_since_ms):
-            raise ValueError(f"{member.server!r} is up since {member.up_since_ms}")
+            raise ValueError(f"{member.server!r}: up_since_ms is not finite: {member.up_since_ms}")
         members.append(member)
         if member.readiness is not Readiness.GONE:
             addresses[member.server] = parse_address(entry["host_port"])
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -1,4 +1,4 @@
-"""The parts of one balancer, wired together: started, told of a new configuration, and stopped."""
+"""A complete balancer: creates its components, applies new configurations, and shuts it down."""
 
 from __future__ import annotations
 
@@ -16,26 +16,28 @@
 
 log = logging.getLogger("passpost")
 
-# Callers and upstreams get a part of the descriptors each; the rest is for the listening socket, discovery,
-# the loop, files, and sockets that are closed but not gone yet. Callers get more: a request that waits in
-# the listening socket's queue is taken and not seen, while an attempt without a connection ends at once.
+# The parts of the file descriptors that client and upstream connections may use. The rest is for the listening socket,
+# discovery, the event loop, files, and sockets that are closed but not yet released. Clients get more: a request in
+# the listening socket's queue counts as accepted although it can't be seen, while an attempt without a connection
+# ends at once.
 CALLERS_SHARE, UPSTREAMS_SHARE = 0.55, 0.35
-OWN = 24  # the least of that rest: a process holds 15 at rest, and discovery may have four lines
+RESERVED_DESCRIPTORS = 24  # minimum of that rest: an idle process holds 15, discovery up to 4 connections
 
-# A planned restart kills no sooner than the longest deadline, of which LONGEST_S count at most, and so much later;
-# the spare is for ending. To plan for more than that is to be killed with callers that were never let go.
-LONGEST_S, KILL_AFTER_S, SPARE_S = 3.0, 0.7, 0.3
+# In a planned restart SIGKILL follows SIGTERM no sooner than after the longest deadline, capped at DEADLINE_CAP_S, plus
+# KILL_AFTER_S. SHUTDOWN_MARGIN_S of that is kept for shutting down. A drain planned to take longer would be killed
+# while it still keeps clients' connections open.
+DEADLINE_CAP_S, KILL_AFTER_S, SHUTDOWN_MARGIN_S = 3.0, 0.7, 0.3
 
 
-def shares(sockets: int) -> tuple[int, int]:
-    """How many connections callers and upstreams may have, of so many descriptors."""
-    given = CALLERS_SHARE + UPSTREAMS_SHARE
-    free = min(sockets * given, sockets - OWN)
-    return int(free * CALLERS_SHARE / given), int(free * UPSTREAMS_SHARE / given)
+def connection_limits(sockets: int) -> tuple[int, int]:
+    """Numbers of client and of upstream connections that fit into so many file descriptors."""
+    total_share = CALLERS_SHARE + UPSTREAMS_SHARE
+    available = min(sockets * total_share, sockets - RESERVED_DESCRIPTORS)
+    return int(available * CALLERS_SHARE / total_share), int(available * UPSTREAMS_SHARE / total_share)
 
 
 class Node:
-    """The parts of one balancer, wired together and started."""
+    """One balancer: its listener, engine, upstream connections and discovery, started on creation."""
 
     def __init__(
         self,
@@ -46,7 +48,7 @@
         discovery: type[Discovery] = Discovery,
     ) -> None:
         self._config = config
-        callers, upstreams = shares(config.sockets)
+        callers, upstreams = connection_limits(config.sockets)
         self.upstreams = Upstreams(config.connect_timeout, config.idle_timeout, upstreams, host)
         settings = config.settings
         self.discovery = discovery(
@@ -71,34 +73,34 @@
         self.server.start()
 
     def reload(self, config: Config) -> None:
-        """Take over a changed address of discovery; all else needs a restart, which the log says."""
+        """Apply a changed address of discovery; log a warning for settings that take effect only after a restart."""
         changed = [f.name for f in fields(Config) if getattr(config, f.name) != getattr(self._config, f.name)]
-        if later := [name for name in changed if name not in ("discovery", "known", "seed")]:
-            log.warning("configuration: a change of %s waits for a restart", ", ".join(later))
+        if ignored := [name for name in changed if name not in ("discovery", "known", "seed")]:
+            log.warning("configuration: a change of %s waits for a restart", ", ".join(ignored))
         self._config = config
         if self.discovery.move(config.discovery):
             self.engine.told(ListMoved())
 
     def reload_failed(self) -> None:
-        """A configuration could not be used; for nodes that count."""
+        """Record a configuration that could not be used; does nothing here, subclasses count it."""
 
     def limit(self, share: float) -> None:
-        """Hold so large a part of the descriptors at most."""
-        callers, upstreams = shares(self._config.sockets)
+        """Use at most this share of the connections that the descriptors allow."""
+        callers, upstreams = connection_limits(self._config.sockets)
         self.server.limit(int(callers * share))
         self.upstreams.limit(int(upstreams * share))
 
     def within(self) -> float:
-        """How long a planned restart leaves us after SIGTERM, in seconds."""
+        """Seconds that a planned restart allows for a drain after SIGTERM."""
         longest = max(c.deadline_ms for c in self._config.settings.classes) / 1000
-        return min(longest, LONGEST_S) + KILL_AFTER_S - SPARE_S
+        return min(longest, DEADLINE_CAP_S) + KILL_AFTER_S - SHUTDOWN_MARGIN_S
 
     async def stop(self) -> None:
-        """Finish what was taken, then close everything."""
+        """Answer all accepted requests, then close everything."""
         await self.server.drain(self.within())
         self.close()
 
     def close(self) -> None:
-        """Follow the list and keep connections no more."""
+        """Stop following the list and close the upstream connections."""
         self.discovery.stop()
         self.upstreams.stop()
--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -1,8 +1,8 @@
-"""The module's own figures in the log, second by second: for a day that went wrong and nobody knows why.
+"""Logs the decision module's internal figures once a second, to diagnose overload and refusals.
 
-Off by default and not imported then: `PASSPOST_FIGURES=1` in the environment of `python -m passpost` turns it on. What
-it writes is what the decisions go by (room, times in service, the waiting line, what is known of each server), and
-why requests were given up, so that a stretch of refusals can be put down to its cause.
+Off by default, and not imported then: `PASSPOST_FIGURES=1` in the environment of `python -m passpost` enables it. It
+logs the inputs of the decisions (concurrency limit, times in service, the queue, the estimates for each server), and
+the reasons for which requests were given up, so that a period of refusals can be traced to its cause.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 
 log = logging.getLogger(__name__)
 
-EVERY_MS = 1_000.0
+LINE_INTERVAL_MS = 1_000.0
 
 
-class Recorded(Balancer):
-    """Decides as its base does, and writes a line of figures each second in which something happens."""
+class RecordingBalancer(Balancer):
+    """Decides like its base class, and logs a line of figures in each second in which an event occurs."""
 
     def __init__(self, settings: face.Settings, seed: int) -> None:
         super().__init__(settings, seed)
-        self._next_line = 0.0
+        self._next_line_ms = 0.0
         self._counts: Counter[str] = Counter()
-        self._for_room = False
+        self._refusing_for_room = False
         self._event: face.Event | None = None
 
     def handle(self, event: face.Event, now: float) -> list[face.Action]:
-        """As the base; counts what it decides."""
+        """Handle an event like the base class; count the event and the resulting actions."""
         self._event = event
         match event:
             case face.RequestArrived():
@@ -39,16 +39,16 @@
                 self._counts[event.outcome.value.replace(" ", "_")] += 1
         actions = super().handle(event, now)
         self._counts["sent"] += sum(isinstance(action, face.Send) for action in actions)
-        if now >= self._next_line:
-            self._next_line = now + EVERY_MS
+        if now >= self._next_line_ms:
+            self._next_line_ms = now + LINE_INTERVAL_MS
             log.info("figures %s", self.line(now))
             self._counts.clear()
         return actions
 
     def line(self, now: float) -> str:
-        """The figures as words of the form name=value; times in aims but for those that say so."""
+        """The figures as words of the form name=value; times are multiples of the aim unless the name has a unit."""
         room, ready = self._room, self._fleet.ready
-        usual = self._median or 1.0
+        usual_time = self._median or 1.0
         parts: dict[str, object] = {
             "now_ms": round(now),
             "open": len(self._requests),
@@ -65,25 +65,25 @@
             **self._counts,
         }
         each = " ".join(
-            f"{s.member.server}:{s.in_flight}/{s.served:.0f}/{s.capacity(usual, now) * 1000:.1f}"
+            f"{s.member.server}:{s.in_flight}/{s.served:.0f}/{s.capacity(usual_time, now) * 1000:.1f}"
             for s in sorted(ready, key=lambda s: s.member.server)[:32]
         )
         return " ".join(f"{name}={value}" for name, value in parts.items()) + f" servers {each}"
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
-        self._for_room = True
+        self._refusing_for_room = True
         try:
             super()._refuse_for_room(request, now)
         finally:
-            self._for_room = False
+            self._refusing_for_room = False
 
     def _give_up(self, request: Request) -> None:
         match self._event:
             case face.RequestArrived():
-                why = "no_crowd" if self._for_room else "no_connection"
+                reason = "no_crowd" if self._refusing_for_room else "no_connection"
             case face.TimerDue():
-                why = "no_room"
+                reason = "no_room"
             case _:
-                why = "no_savings" if self._retries < 1 else "no_try_left"
-        self._counts[why] += 1
+                reason = "no_savings" if self._retries < 1 else "no_try_left"
+        self._counts[reason] += 1
         super()._give_up(request)
--- a/passpost/signals.py
+++ b/passpost/signals.py
@@ -1,4 +1,4 @@
-"""What the processes do on SIGHUP, SIGTERM and SIGINT, from the first moment that they can to their end."""
+"""Handling of SIGHUP, SIGTERM and SIGINT from the start of a process to its end."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 import signal
 from collections.abc import Callable
 
-RELOAD_GAP_S = 0.1  # a file that is read again for each of thousands of signals would hold up all else
+# The minimum between two reloads: reading the file again for each of thousands of signals would block everything else.
+RELOAD_INTERVAL_S = 0.1
 
-STOPS = (signal.SIGTERM, signal.SIGINT)
-ALL = (signal.SIGHUP, *STOPS)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (signal.SIGHUP, *STOP_SIGNALS)
 
 
 class Signals:
@@ -21,29 +22,30 @@
         self._loop, self._reload = loop, reload
         self._pending: asyncio.TimerHandle | None = None
         self._next_reload_at = 0.0
-        loop.add_signal_handler(signal.SIGHUP, self._hang_up)  # first of all: unhandled, it ends the process
-        for number in STOPS:
+        # SIGHUP comes first: without a handler it ends the process.
+        loop.add_signal_handler(signal.SIGHUP, self._schedule_reload)
+        for number in STOP_SIGNALS:
             loop.add_signal_handler(number, stop)
 
-    def _hang_up(self) -> None:
-        """Reload once for all signals that have come up to then; the first in a while at once."""
+    def _schedule_reload(self) -> None:
+        """Reload once for all signals until then; at once if the last reload is long enough ago."""
         if self._pending is None:
-            self._pending = self._loop.call_at(self._next_reload_at, self._due)
+            self._pending = self._loop.call_at(self._next_reload_at, self._run_reload)
 
-    def _due(self) -> None:
+    def _run_reload(self) -> None:
         self._pending = None
-        self._next_reload_at = self._loop.time() + RELOAD_GAP_S
+        self._next_reload_at = self._loop.time() + RELOAD_INTERVAL_S
         self._reload()
 
     def ignore(self) -> None:
-        """The work is done: from now on to the end of the process signals do nothing.
+        """Ignore these signals until the process ends; to be called once its work is done.
 
-        A loop that closes gives its signals their default effects back, and one that came then would end a process
-        that has done all it should with the status of a crash. They are blocked meanwhile: each would have its
-        default effect for a moment.
+        A closing event loop restores the default effects of signals, and one that arrived then would end a process
+        that has completed its work with the exit status of a crash. The signals are blocked during the change, because
+        each would have its default effect for a moment.
         """
-        signal.pthread_sigmask(signal.SIG_BLOCK, ALL)
-        for number in ALL:
+        signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
+        for number in HANDLED_SIGNALS:
             self._loop.remove_signal_handler(number)
             signal.signal(number, signal.SIG_IGN)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, ALL)
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, HANDLED_SIGNALS)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -19,11 +19,11 @@
 
 
 def read(text: str) -> Listing:
-    reading = lists.Reading()
-    for _ in lists.read(text, reading):
-        assert reading.listing is None
-    assert reading.listing is not None
-    return reading.listing
+    partial = lists.PartialListing()
+    for _ in lists.read(text, partial):
+        assert partial.listing is None
+    assert partial.listing is not None
+    return partial.listing
 
 
 entries = st.builds(
@@ -56,7 +56,7 @@
 def test_a_list_read_in_slices_is_the_list(data: dict[str, Any], indent: Any, at_once: int) -> None:
     text = json.dumps(data, indent=indent)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(lists, "READ_AT_ONCE", at_once)
+        patch.setattr(lists, "ENTRIES_PER_SLICE", at_once)
         assert read(f" {text}\n") == parse_listing(json.loads(text))
 
 
@@ -108,7 +108,7 @@
     addresses: dict[str, Address] = dict(old.addresses)
     gone = False
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(lists, "TELL_AT_ONCE", at_once)
+        patch.setattr(lists, "MEMBERS_PER_UPDATE", at_once)
         slices = list(lists.changes(dict(have), dict(addresses), new))
     assert slices
     for part, theirs in slices:
@@ -157,7 +157,7 @@
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
         discovery.start(heard.tell, heard.part)
         await until(lambda: len(discovery.members) == 10_000)
-        assert max(len(u.members) for u, _ in heard.parts) <= lists.TELL_AT_ONCE
+        assert max(len(u.members) for u, _ in heard.parts) <= lists.MEMBERS_PER_UPDATE
         assert {u.kind for u, _ in heard.parts} == {ListKind.CHANGES}
         broken = many(10_000, 3, start=5_000)
         broken["members"][-1]["phase"] = "nonsense"
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from passpost.__main__ import chosen_module
-from passpost.recorder import Recorded
+from passpost.__main__ import balancer_class
+from passpost.recorder import RecordingBalancer
 from umberworks.interface import (
     AttemptEnded,
     Effect,
@@ -48,7 +48,7 @@
 
 def test_it_decides_as_the_module_does_and_says_why_it_refuses(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.INFO, "passpost.recorder"):
-        assert decide(Recorded) == decide(Balancer)
+        assert decide(RecordingBalancer) == decide(Balancer)
     lines = [r.getMessage() for r in caplog.records if r.name == "passpost.recorder"]
     assert len(lines) > 5
     assert any("no_room=" in line for line in lines) and all(" servers a:" in line for line in lines)
@@ -56,8 +56,8 @@
 
 def test_it_is_off_unless_asked_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.delenv("PASSPOST_FIGURES", raising=False)
-    assert chosen_module() is Balancer
+    assert balancer_class() is Balancer
     monkeypatch.setenv("PASSPOST_FIGURES", "1")
-    assert chosen_module() is Recorded
+    assert balancer_class() is RecordingBalancer
     code = "import sys, passpost.__main__; print('passpost.recorder' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "False\n"
