--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Property tests draw the same examples each time: the same verdict on the same commit. And tests known to fail."""
+"""Makes property tests draw the same examples in each run, for reproducible results, and marks known failures."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 from tests import known_red
 
-# Nothing is timed: on a busy machine the first draw of a text takes seconds, as its table of letters is made.
+# No time limits: on a busy machine the first draw of a text takes seconds, because its character table is built then.
 settings.register_profile(
     "same", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
 )
 settings.load_profile("same")
 
 
-def listed(config: pytest.Config) -> list[known_red.KnownRed]:
-    """What KNOWN-RED.txt at the root lists; a run with a list that can't be used does not begin."""
+def listed_entries(config: pytest.Config) -> list[known_red.KnownRed]:
+    """The entries of KNOWN-RED.txt at the root; an invalid file stops the run before it begins."""
     try:
         return known_red.read_file(Path(config.rootpath))
     except known_red.KnownRedError as error:
@@ -25,12 +25,12 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list before anything else."""
-    listed(config)
+    """Check KNOWN-RED.txt before the run begins."""
+    listed_entries(config)
 
 
-class Lacking(pytest.Item):
-    """Fails in place of a listed test that there is not: an error here would hide all else."""
+class MissingTest(pytest.Item):
+    """Fails in place of a listed test that doesn't exist; an error during collection would hide all other results."""
 
     def runtest(self) -> None:
         raise known_red.KnownRedError(f"KNOWN-RED.txt: no such test: {self.name}")
@@ -39,13 +39,13 @@
 def pytest_collection_modifyitems(
     session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """A listed test has to fail, unless it does so at times only; no other is passed over."""
-    entries = listed(config)
+    """Mark listed tests as expected failures, strict ones unless they fail only at times; no other test is marked."""
+    entries = listed_entries(config)
     selected = bool(config.option.keyword or config.option.markexpr) or config.args != config.getini(
         "testpaths"
     )
     for name in known_red.missing(entries, (i.nodeid for i in items), selected):
-        items.append(Lacking.from_parent(session, name=name))
+        items.append(MissingTest.from_parent(session, name=name))
     by_test = {entry.test: entry for entry in entries}
     for item in items:
         if (entry := by_test.get(item.nodeid)) is not None:
@@ -53,6 +53,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print them, so that nobody overlooks one."""
-    for entry in listed(config):
+    """Print the entries, so that they are not overlooked."""
+    for entry in listed_entries(config):
         terminalreporter.write_line(str(entry))
--- a/tests/test_deploy.py
+++ b/tests/test_deploy.py
@@ -7,20 +7,20 @@
 import tomllib
 from pathlib import Path
 
-# Stands in for `python3 -m venv --clear .venv`: making a real environment takes long and wants pip.
-PYTHON = """#!/bin/sh
+# A stub for `python3 -m venv --clear .venv`: creating a real environment is slow and needs pip.
+PYTHON_STUB = """#!/bin/sh
 test "$*" = "-m venv --clear .venv" || exit 1
 rm -rf .venv && mkdir -p .venv/bin && printf '#!/bin/sh\\n' > .venv/bin/pip && chmod +x .venv/bin/pip
 printf '#!/bin/sh\\necho "$*" >> compiled\\n' > .venv/bin/python && chmod +x .venv/bin/python
 """
-DEPLOY = Path(__file__).parent.parent / "deploy" / "balancer.toml"
+DEPLOY_FILE = Path(__file__).parent.parent / "deploy" / "balancer.toml"
 
 
-def test_changed_requirements_reach_an_existing_environment(tmp_path: Path) -> None:
-    build = tomllib.loads(DEPLOY.read_text())["build"]
+def test_changed_requirements_rebuild_an_existing_environment(tmp_path: Path) -> None:
+    build = tomllib.loads(DEPLOY_FILE.read_text())["build"]
     python = tmp_path / "bin" / "python3"
     python.parent.mkdir()
-    python.write_text(PYTHON)
+    python.write_text(PYTHON_STUB)
     python.chmod(0o755)
     env = os.environ | {"PATH": f"{python.parent}:{os.environ['PATH']}"}
 
@@ -32,9 +32,9 @@
     run_build()
     leftover.touch()
     run_build()
-    assert leftover.exists()  # nothing has changed: nothing is made anew
+    assert leftover.exists()  # unchanged requirements: the environment is kept
     requirements.write_text("# nothing still, in other words\n")
     run_build()
     assert not leftover.exists()
-    # `run` may not be able to write, and would compile the program at each start of each process.
+    # `run` may have no write access, and then each process would compile the program at each start.
     assert (tmp_path / "compiled").read_text() == 3 * "-m compileall -q passpost umberworks\n"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle callers fill the descriptors of a real process, whose limit is the kernel's, while discovery is down."""
+"""Idle clients fill the descriptor table of a real process, limited by the kernel, while discovery is down."""
 
 from __future__ import annotations
 
@@ -25,20 +25,22 @@
     until,
 )
 
-IDLE = 300
+IDLE_CLIENTS = 300
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_what_discovery_and_upstreams_need_is_kept_free(sockets: int, tmp_path: Path) -> None:
+def test_descriptors_are_reserved_for_discovery_and_upstreams(sockets: int, tmp_path: Path) -> None:
     async def test() -> None:
-        known, later = FakeServer(), FakeServer()
-        await known.start()
-        await later.start()
-        place = socket.socket()
-        place.bind(("127.0.0.1", 0))  # it does not listen: discovery is down
+        listed_server, added_server = FakeServer(), FakeServer()
+        await listed_server.start()
+        await added_server.start()
+        discovery_socket = socket.socket()
+        discovery_socket.bind(("127.0.0.1", 0))  # bound but not listening: discovery is down
         with socket.create_server(("127.0.0.1", 0)) as free:
             port = free.getsockname()[1]
-        data = config_data([member("s0", known.host_port)], f"127.0.0.1:{place.getsockname()[1]}")
+        data = config_data(
+            [member("s0", listed_server.host_port)], f"127.0.0.1:{discovery_socket.getsockname()[1]}"
+        )
         data["listen"] = f"127.0.0.1:{port}"
         data["limits"]["sockets"] = sockets
         data["settings"]["discovery"] = "ask"
@@ -49,7 +51,7 @@
                 assert process.stderr is not None
                 resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
                 assert any("serves on" in line for line in process.stderr)
-                idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE)]
+                idle = [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE_CLIENTS)]
 
                 async def ask() -> int:
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -59,19 +61,18 @@
 
                 assert [await ask() for _ in range(20)] == [200] * 20
 
-                async def list_it(request: Got, writer: Writer) -> None:
+                async def reply_with_list(request: Got, writer: Writer) -> None:
                     if "wait_ms" not in request.line or "after=1&" in request.line:
-                        writer.write(answer_json(listing(2, member("s1", later.host_port))))
+                        writer.write(answer_json(listing(2, member("s1", added_server.host_port))))
 
-                registry = FakeServer(list_it)
-                place.listen()
-                place.setblocking(False)
-                registry._server = await asyncio.start_server(registry._serve, sock=place)
-                idle += [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE)]
-                await until(
-                    lambda: bool(registry.got)
-                )  # it is back, and asked although callers fill the table
-                while not later.got:
+                registry = FakeServer(reply_with_list)
+                discovery_socket.listen()
+                discovery_socket.setblocking(False)
+                registry._server = await asyncio.start_server(registry._serve, sock=discovery_socket)
+                idle += [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE_CLIENTS)]
+                # Discovery is up again, and is called although clients fill the descriptor table.
+                await until(lambda: bool(registry.got))
+                while not added_server.got:
                     assert await ask() == 200
                 for connection in idle:
                     connection.close()
@@ -79,7 +80,7 @@
             finally:
                 process.send_signal(signal.SIGTERM)
             assert process.wait() == 0
-        known.stop()
-        later.stop()
+        listed_server.stop()
+        added_server.stop()
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback sockets, and what the module is told of it."""
+"""The client of discovery over loopback sockets, and the updates that it reports."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from passpost import discovery as module
+from passpost import discovery as discovery_module
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import parse_address, parse_listing
@@ -19,8 +19,8 @@
 SAVED = listing(1, member("a", "127.0.0.1:1001"), member("b", "127.0.0.1:1002"))
 
 
-class Script:
-    """Answers call by call; the last watch waits for good."""
+class ScriptedReplies:
+    """Answers successive calls with these replies; later calls get no answer."""
 
     def __init__(self, *replies: bytes) -> None:
         self.replies = list(replies)
@@ -30,8 +30,8 @@
             writer.write(self.replies.pop(0))
 
 
-class Heard:
-    """What a discovery has told."""
+class UpdateRecorder:
+    """Records the updates that a discovery reports."""
 
     def __init__(self) -> None:
         self.kinds: list[ListKind] = []
@@ -45,40 +45,40 @@
 
 
 @asynccontextmanager
-async def following(*replies: bytes) -> AsyncIterator[tuple[FakeServer, Discovery, Heard]]:
-    server, heard = FakeServer(Script(*replies)), Heard()
+async def following_discovery(*replies: bytes) -> AsyncIterator[tuple[FakeServer, Discovery, UpdateRecorder]]:
+    server, recorder = FakeServer(ScriptedReplies(*replies)), UpdateRecorder()
     await server.start()
     discovery = Discovery(parse_address(server.host_port), parse_listing(SAVED))
-    discovery.start(heard)
+    discovery.start(recorder)
     discovery.subscribe()
     try:
-        yield server, discovery, heard
+        yield server, discovery, recorder
     finally:
         discovery.stop()
         server.stop()
 
 
 @asynccontextmanager
-async def moved(old: FakeServer, new: FakeServer) -> AsyncIterator[Heard]:
-    """A discovery whose first call at the old place is out, and which now follows the new one."""
+async def moved_discovery(old: FakeServer, new: FakeServer) -> AsyncIterator[UpdateRecorder]:
+    """A discovery that was moved to the new address while its first call at the old one is pending."""
     await new.start()
     await old.start()
-    heard = Heard()
+    recorder = UpdateRecorder()
     discovery = Discovery(parse_address(old.host_port), parse_listing(SAVED))
-    discovery.start(heard)
+    discovery.start(recorder)
     discovery.subscribe()
     await until(lambda: len(old.got) == 1)
     assert discovery.move(parse_address(new.host_port))
     discovery.subscribe()
     try:
-        yield heard
+        yield recorder
     finally:
         discovery.stop()
         new.stop()
         old.stop()
 
 
-def test_changes_whole_lists_and_what_has_left() -> None:
+def test_changes_whole_lists_and_departures_are_applied() -> None:
     async def test() -> None:
         replies = (
             listing(1, complete=False),
@@ -86,18 +86,18 @@
             listing(5, member("a", "", "left"), member("c", "127.0.0.1:1003", "leaving"), complete=False),
             listing(9, member("d", "127.0.0.1:1004")),
         )
-        async with following(*map(answer_json, replies)) as (server, _, heard):
+        async with following_discovery(*map(answer_json, replies)) as (server, _, recorder):
             await until(lambda: len(server.got) == 5)
-            assert heard.kinds == [
+            assert recorder.kinds == [
                 ListKind.SAVED,
                 ListKind.CHANGES,
                 ListKind.CHANGES,
                 ListKind.CHANGES,
                 ListKind.WHOLE,
             ]
-            assert [m.readiness for m in heard.updates[3].members] == [Readiness.GONE, Readiness.DRAINING]
-            assert heard.addresses == {"d": ("127.0.0.1", 1004)}
-            # Each call follows on what the last one told, on one connection, and only watches wait.
+            assert [m.readiness for m in recorder.updates[3].members] == [Readiness.GONE, Readiness.DRAINING]
+            assert recorder.addresses == {"d": ("127.0.0.1", 1004)}
+            # Each call asks for the changes after the last revision, and all use one connection.
             watches = [
                 f"GET /registry/instances?after={n}&wait_ms={w} HTTP/1.1"
                 for n, w in ((1, 10_000), (1, 10_000), (4, 10_000), (5, 10_000), (9, 10_000))
@@ -108,12 +108,12 @@
     run(test())
 
 
-def test_an_address_may_change_under_the_same_id() -> None:
+def test_address_may_change_under_the_same_id() -> None:
     async def test() -> None:
         moved = listing(2, member("a", "127.0.0.1:3001"), complete=False)
-        async with following(answer_json(moved)) as (server, _, heard):
+        async with following_discovery(answer_json(moved)) as (server, _, recorder):
             await until(lambda: len(server.got) == 2)
-            assert heard.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
+            assert recorder.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
 
     run(test())
 
@@ -134,138 +134,141 @@
         answer_json(listing(0, complete=False)),
     ],
 )
-def test_a_bad_answer_counts_as_failed_and_leaves_the_list(reply: bytes) -> None:
+def test_bad_answer_is_a_failed_call_and_keeps_the_list(reply: bytes) -> None:
     async def test() -> None:
-        async with following(reply, answer_json(SAVED)) as (_, discovery, heard):
-            await until(lambda: len(heard.kinds) == 2)
-            assert heard.kinds == [ListKind.SAVED, ListKind.FAILED]
-            assert set(heard.addresses) == {"a", "b"}
-            discovery.subscribe()  # when the module asks again, it works again
-            await until(lambda: len(heard.kinds) == 3)
-            assert heard.kinds[2] is ListKind.WHOLE
+        async with following_discovery(reply, answer_json(SAVED)) as (_, discovery, recorder):
+            await until(lambda: len(recorder.kinds) == 2)
+            assert recorder.kinds == [ListKind.SAVED, ListKind.FAILED]
+            assert set(recorder.addresses) == {"a", "b"}
+            discovery.subscribe()  # a new subscription works
+            await until(lambda: len(recorder.kinds) == 3)
+            assert recorder.kinds[2] is ListKind.WHOLE
 
     run(test())
 
 
 @pytest.mark.parametrize("cut", [0, 10])
-def test_a_close_delimited_answer_is_whole_by_the_close(cut: int) -> None:
-    # RFC 9112, 6.3, rule 8. One that ended too early is no JSON: the list stays, and the call has failed.
+def test_close_delimited_answer_is_complete_on_close(cut: int) -> None:
+    # RFC 9112, section 6.3, rule 8. A truncated body is not valid JSON: the list is kept and the call fails.
     body = answer_json(listing(2, member("c", "127.0.0.1:1003"))).partition(b"\r\n\r\n")[2]
 
-    async def to_the_end(request: Got, writer: Writer) -> None:
+    async def reply_and_close(request: Got, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) - cut])
         writer.close()
 
     async def test() -> None:
-        async with following() as (server, discovery, heard):
-            server.reply = to_the_end
-            await until(lambda: len(heard.kinds) == 2 if cut else heard.kinds[1:2] == [ListKind.WHOLE])
+        async with following_discovery() as (server, discovery, recorder):
+            server.reply = reply_and_close
+            await until(lambda: len(recorder.kinds) == 2 if cut else recorder.kinds[1:2] == [ListKind.WHOLE])
             if cut:
-                assert heard.kinds[1] is ListKind.FAILED and set(discovery.members) == {"a", "b"}
+                assert recorder.kinds[1] is ListKind.FAILED and set(discovery.members) == {"a", "b"}
             else:
                 assert set(discovery.members) == {"c"}
 
     run(test())
 
 
-def test_silence_ends_in_a_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "AFTER_WAIT_S", 0.05)
-    monkeypatch.setattr(module, "WATCH_MS", 1)
+def test_unanswered_call_times_out_as_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_module, "AFTER_WAIT_S", 0.05)
+    monkeypatch.setattr(discovery_module, "WATCH_MS", 1)
 
     async def test() -> None:
-        async with following() as (server, _, heard):
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
+        async with following_discovery() as (server, _, recorder):
+            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
             await until(lambda: server.closed == server.connections)
 
     run(test())
 
 
-def test_a_move_asks_the_new_address_for_the_whole_list() -> None:
+def test_move_requests_the_whole_list_from_the_new_address() -> None:
     async def test() -> None:
-        skipped, new = (
+        never_called, new = (
             FakeServer(),
-            FakeServer(Script(answer_json(listing(1, member("c", "127.0.0.1:4001"))))),
+            FakeServer(ScriptedReplies(answer_json(listing(1, member("c", "127.0.0.1:4001"))))),
         )
-        await skipped.start()
+        await never_called.start()
         await new.start()
-        async with following(answer_json(listing(7, complete=False))) as (old, discovery, heard):
-            await until(lambda: len(old.got) == 2)  # the watch is on
-            assert discovery.move(parse_address(skipped.host_port))
+        async with following_discovery(answer_json(listing(7, complete=False))) as (old, discovery, recorder):
+            await until(lambda: len(old.got) == 2)  # the watch is pending
+            assert discovery.move(parse_address(never_called.host_port))
             assert discovery.move(parse_address(new.host_port))
             discovery.subscribe()
-            assert set(heard.addresses) == {"a", "b"}  # they serve until the new list is there
+            assert set(recorder.addresses) == {"a", "b"}  # the old list is used until the new one arrives
             await until(lambda: len(new.got) == 2)
-            assert not discovery.move(parse_address(new.host_port))  # nothing to do
-            assert heard.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
-            assert set(heard.addresses) == {"c"}
+            assert not discovery.move(parse_address(new.host_port))  # the address has not changed
+            assert recorder.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
+            assert set(recorder.addresses) == {"c"}
             assert [got.line for got in new.got] == [
                 "GET /registry/instances HTTP/1.1",
                 "GET /registry/instances?after=1&wait_ms=10000 HTTP/1.1",
             ]
-            assert skipped.got == [] and new.connections == 1
-        skipped.stop()
+            assert never_called.got == [] and new.connections == 1
+        never_called.stop()
         new.stop()
 
     run(test())
 
 
-def test_the_old_watch_goes_on_until_the_new_place_answers() -> None:
-    # Of hundreds that move together many wait for their turn there, and what the old place writes counts as told.
+def test_old_watch_continues_until_the_new_address_answers() -> None:
+    # When hundreds of balancers move at once, many wait for an answer of the new address; meanwhile what the old one
+    # sends counts as announced.
     async def test() -> None:
-        told = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def tell_late(request: Got, writer: Writer) -> None:
-            await told.wait()
+        async def reply_late(request: Got, writer: Writer) -> None:
+            await may_reply.wait()
             writer.write(answer_json(listing(2, member("a", "127.0.0.1:1001", "leaving"), complete=False)))
-            told.clear()
+            may_reply.clear()
 
-        busy, old = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), FakeServer(tell_late)
-        async with moved(old, busy) as heard:
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
-            told.set()
-            await until(lambda: heard.kinds[2:] == [ListKind.CHANGES])
-            assert [m.readiness for m in heard.updates[2].members] == [Readiness.DRAINING]
+        refusing, old = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), FakeServer(reply_late)
+        async with moved_discovery(old, refusing) as recorder:
+            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
+            may_reply.set()
+            await until(lambda: recorder.kinds[2:] == [ListKind.CHANGES])
+            assert [m.readiness for m in recorder.updates[2].members] == [Readiness.DRAINING]
 
     run(test())
 
 
-def test_what_the_old_place_had_written_is_heard_after_the_new_one_has_answered() -> None:
-    # The new place's list was made before that: a call that is dropped there leaves what it brings told and unheard.
+def test_late_answer_of_the_old_address_still_announces_departures() -> None:
+    # The new address's list was made before that. Aborting the pending call would lose changes that count as announced.
     async def test() -> None:
-        told = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def tell_late(request: Got, writer: Writer) -> None:
-            await told.wait()
+        async def reply_late(request: Got, writer: Writer) -> None:
+            await may_reply.wait()
             news = (
                 member("a", "127.0.0.1:1001", "leaving", up_since_ms=5),
-                member("b", "127.0.0.1:1002", "leaving", up_since_ms=5),  # it has started again since
-                member("c", "127.0.0.1:1003"),  # what is there, the new place tells
+                member("b", "127.0.0.1:1002", "leaving", up_since_ms=5),  # it has restarted since
+                member("c", "127.0.0.1:1003"),  # ignored: the new address knows which servers exist
                 member("d", "127.0.0.1:1004", "leaving"),
             )
             writer.write(answer_json(listing(2, *news, complete=False)))
 
-        fresh = listing(
+        current_list = listing(
             7, member("a", "127.0.0.1:1001", up_since_ms=5), member("b", "127.0.0.1:1002", up_since_ms=6)
         )
-        new, old = FakeServer(Script(answer_json(fresh))), FakeServer(tell_late)
-        async with moved(old, new) as heard:
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.WHOLE])
-            told.set()
-            await until(lambda: len(heard.kinds) == 3)
-            assert [(m.server, m.readiness) for m in heard.updates[2].members] == [("a", Readiness.DRAINING)]
-            assert set(heard.addresses) == {"a", "b"}
+        new, old = FakeServer(ScriptedReplies(answer_json(current_list))), FakeServer(reply_late)
+        async with moved_discovery(old, new) as recorder:
+            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.WHOLE])
+            may_reply.set()
+            await until(lambda: len(recorder.kinds) == 3)
+            assert [(m.server, m.readiness) for m in recorder.updates[2].members] == [
+                ("a", Readiness.DRAINING)
+            ]
+            assert set(recorder.addresses) == {"a", "b"}
             await until(lambda: old.closed == 1)
-            assert len(old.got) == 1  # it is asked no more
+            assert len(old.got) == 1  # no further calls are made there
 
     run(test())
 
 
-def test_with_discovery_down_at_the_start_the_saved_list_serves() -> None:
-    def ask(data: dict[str, Any]) -> None:
+def test_saved_list_is_used_if_discovery_is_down_at_start() -> None:
+    def ask_mode(data: dict[str, Any]) -> None:
         data["settings"]["discovery"] = "ask"
 
     async def test() -> None:
-        async with balancer(FakeServer(), change=ask) as b:  # nobody listens where discovery should be
+        async with balancer(FakeServer(), change=ask_mode) as b:  # discovery's address has no listener
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
@@ -275,34 +278,34 @@
     run(test())
 
 
-def test_a_pushed_list_is_read_again_and_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Nobody asks for a list that is pushed: read only when asked for, it stayed as it was at the start.
-    monkeypatch.setattr(module, "AGENT_POLL_S", 0.01)
+def test_pushed_list_is_polled_continuously(monkeypatch: pytest.MonkeyPatch) -> None:
+    # The module doesn't subscribe to a pushed list: without polling it stayed as it was at the start.
+    monkeypatch.setattr(discovery_module, "AGENT_POLL_S", 0.01)
 
     async def test() -> None:
         agent = FakeServer(answer_json(listing(2, member("a", "127.0.0.1:1"))))
         await agent.start()
         known = parse_listing(listing(1))
-        discovery = module.Discovery(parse_address(agent.host_port), known, pushed=True)
-        told: list[ListUpdate] = []
-        discovery.start(lambda update, addresses: told.append(update))
-        await until(lambda: any(u.members for u in told))
+        discovery = discovery_module.Discovery(parse_address(agent.host_port), known, pushed=True)
+        updates: list[ListUpdate] = []
+        discovery.start(lambda update, addresses: updates.append(update))
+        await until(lambda: any(u.members for u in updates))
         agent.reply = answer_json(listing(3, member("b", "127.0.0.1:2")))
-        await until(lambda: [m.server for m in told[-1].members] == ["b"])
+        await until(lambda: [m.server for m in updates[-1].members] == ["b"])
         agent.reply = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
         seen = len(agent.got)
-        await until(lambda: len(agent.got) > seen + 2)  # it goes on asking
+        await until(lambda: len(agent.got) > seen + 2)  # polling goes on
         agent.reply = answer_json(listing(4, member("c", "127.0.0.1:3")))
-        await until(lambda: [m.server for m in told[-1].members] == ["c"])
-        assert all(u.kind is not ListKind.FAILED for u in told)
+        await until(lambda: [m.server for m in updates[-1].members] == ["c"])
+        assert all(u.kind is not ListKind.FAILED for u in updates)
         discovery.stop()
         agent.stop()
 
     run(test())
 
 
-class Turns:
-    """Answers each call, in the order of coming, when the test says so; `after_ms` is not waited for."""
+class ManualReplies:
+    """Answers each call, numbered in order of arrival, when the test calls `answer`; waits of watches are ignored."""
 
     def __init__(self) -> None:
         self.answers: list[asyncio.Future[bytes]] = []
@@ -316,8 +319,8 @@
         self.answers[call].set_result(answer_json(data))
 
 
-class Hasty(Discovery):
-    """Its first call is overdue soon, the others never are."""
+class SoonOverdueDiscovery(Discovery):
+    """A discovery whose first call is overdue soon, and later ones never."""
 
     first = True
 
@@ -327,32 +330,35 @@
 
 
 @asynccontextmanager
-async def overdue(pushed: bool = False) -> AsyncIterator[tuple[Turns, FakeServer, Heard]]:
-    """A discovery whose first call was taken, and has brought nothing by the time when it was due."""
-    turns, heard = Turns(), Heard()
-    server = FakeServer(turns)
+async def overdue_discovery(
+    pushed: bool = False,
+) -> AsyncIterator[tuple[ManualReplies, FakeServer, UpdateRecorder]]:
+    """A discovery whose first call is overdue without an answer, and whose parallel call is pending."""
+    replies, recorder = ManualReplies(), UpdateRecorder()
+    server = FakeServer(replies)
     await server.start()
-    discovery = Hasty(parse_address(server.host_port), parse_listing(SAVED), pushed)
-    discovery.start(heard)
+    discovery = SoonOverdueDiscovery(parse_address(server.host_port), parse_listing(SAVED), pushed)
+    discovery.start(recorder)
     discovery.subscribe()
-    await until(lambda: len(turns.answers) == 2)
+    await until(lambda: len(replies.answers) == 2)
     try:
-        yield turns, server, heard
+        yield replies, server, recorder
     finally:
         discovery.stop()
         server.stop()
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_call_is_overdue_long_before_it_is_given_up(pushed: bool) -> None:
-    # What a call that may wait misses counts as told 2 s after the wait, and an agent's at once: 1 s is left then.
+def test_call_is_overdue_well_before_its_changes_count_as_announced(pushed: bool) -> None:
+    # Changes that a watch misses count as announced 2 s after its wait, and an agent's at once; at least 1 s must be
+    # left to receive them by another call.
     discovery = Discovery(("127.0.0.1", 1), parse_listing(SAVED), pushed)
     for wait_ms in (0, 1_000, 10_000):
-        told = wait_ms / 1000 + 2.0 if wait_ms else 6.0
+        announced_s = wait_ms / 1000 + 2.0 if wait_ms else 6.0
         assert (
             wait_ms / 1000
             < discovery._overdue_after_s(wait_ms)
-            <= (wait_ms / 1000 + 0.5 if pushed else told - 1.0)
+            <= (wait_ms / 1000 + 0.5 if pushed else announced_s - 1.0)
         )
 
 
@@ -360,56 +366,54 @@
 
 
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_has_fallen_silent_is_followed_by_a_call_beside_it(pushed: bool) -> None:
-    # Given up only when its news counted as told, it left one second for a pause, a call and the answer.
+def test_silent_watch_gets_a_parallel_call(pushed: bool) -> None:
+    # A watch that was given up only when its changes counted as announced left 1 s for a pause, a call and the answer.
     async def test() -> None:
-        async with overdue(pushed) as (turns, _, heard):
-            turns.answer(1, LEAVING)
-            await until(lambda: len(heard.kinds) == 2)
-            assert heard.kinds[1] is ListKind.CHANGES
-            assert [m.readiness for m in heard.updates[1].members] == [Readiness.DRAINING]
+        async with overdue_discovery(pushed) as (replies, _, recorder):
+            replies.answer(1, LEAVING)
+            await until(lambda: len(recorder.kinds) == 2)
+            assert recorder.kinds[1] is ListKind.CHANGES
+            assert [m.readiness for m in recorder.updates[1].members] == [Readiness.DRAINING]
 
     run(test())
 
 
-def test_what_a_late_watch_brings_first_is_taken_and_it_asks_no_more() -> None:
+def test_late_watch_that_answers_first_is_applied_and_makes_no_further_call() -> None:
     async def test() -> None:
-        async with overdue() as (turns, server, heard):
-            turns.answer(0, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(heard.addresses) == {"a", "b", "c"})
+        async with overdue_discovery() as (replies, server, recorder):
+            replies.answer(0, listing(2, member("c", "127.0.0.1:1003"), complete=False))
+            await until(lambda: set(recorder.addresses) == {"a", "b", "c"})
             await until(lambda: server.closed == 1)
-            turns.answer(1, LEAVING)
-            await until(lambda: len(heard.kinds) == 3)
-            assert heard.updates[2].members[0].readiness is Readiness.DRAINING
+            replies.answer(1, LEAVING)
+            await until(lambda: len(recorder.kinds) == 3)
+            assert recorder.updates[2].members[0].readiness is Readiness.DRAINING
 
     run(test())
 
 
 @pytest.mark.parametrize("pushed", [False, True])
 @pytest.mark.parametrize(("revision", "leaves"), [(2, False), (3, True)])
-def test_of_a_late_watch_that_is_behind_only_newer_drains_are_heard(
-    revision: int, leaves: bool, pushed: bool
-) -> None:
+def test_superseded_late_watch_reports_only_newer_drains(revision: int, leaves: bool, pushed: bool) -> None:
     async def test() -> None:
-        async with overdue(pushed) as (turns, server, heard):
-            turns.answer(1, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(heard.addresses) == {"a", "b", "c"})
-            turns.answer(0, LEAVING | {"revision": revision})
+        async with overdue_discovery(pushed) as (replies, server, recorder):
+            replies.answer(1, listing(2, member("c", "127.0.0.1:1003"), complete=False))
+            await until(lambda: set(recorder.addresses) == {"a", "b", "c"})
+            replies.answer(0, LEAVING | {"revision": revision})
             await until(lambda: server.closed >= 1)
-            told = [m.server for u in heard.updates[2:] for m in u.members]
-            assert told == (["a"] if leaves else [])
+            reported = [m.server for u in recorder.updates[2:] for m in u.members]
+            assert reported == (["a"] if leaves else [])
 
     run(test())
 
 
-def test_nothing_is_asked_beside_a_call_once_it_is_stopped() -> None:
-    # The timer may be due in the very turn of the stop, before the call's task has heard of its end.
+def test_no_parallel_call_is_made_after_a_stop() -> None:
+    # The timer may fire in the same turn of the event loop as the stop, before the call's task is cancelled.
     async def test() -> None:
-        async with following() as (server, discovery, _):
+        async with following_discovery() as (server, discovery, _):
             await until(lambda: len(server.got) == 1)
-            place = discovery._current
+            subscription = discovery._current
             discovery.stop()
-            discovery._start_parallel_call(place, 10_000)
-            assert discovery._current is place
+            discovery._start_parallel_call(subscription, 10_000)
+            assert discovery._current is subscription
 
     run(test())
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: passed over, printed, and never a way to a pass."""
+"""KNOWN-RED.txt: listed tests are expected to fail and are printed; the list can't hide any other failure."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 """
 
 
-def ran(tmp_path: Path, lines: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """A run of two tests, one of which fails, with such a list and this repository's conftest."""
+def run_pytest(tmp_path: Path, lines: str, *arguments: str) -> subprocess.CompletedProcess[str]:
+    """Run two tests, one of which fails, with the given list and this repository's conftest."""
     folder = tmp_path / "tests"
     folder.mkdir()
     for name in ("__init__.py", "conftest.py", "known_red.py"):
@@ -50,31 +50,31 @@
     )
 
 
-def test_a_listed_test_that_fails_is_passed_over_and_printed(tmp_path: Path) -> None:
-    run = ran(tmp_path, RED + "\n")
-    assert run.returncode == 0, run.stdout
+def test_listed_failing_test_is_expected_and_printed(tmp_path: Path) -> None:
+    result = run_pytest(tmp_path, RED + "\n")
+    assert result.returncode == 0, result.stdout
     seen = (
         "known red: tests/test_a.py::test_red[1]: a stand of over a second (issue 43): pytest tests/test_a.py"
     )
-    assert seen in run.stdout
+    assert seen in result.stdout
 
 
-def test_a_test_that_fails_at_times_may_pass_and_is_printed(tmp_path: Path) -> None:
-    run = ran(tmp_path, RED + "\n" + PASSES + AT_TIMES)
-    assert run.returncode == 0, run.stdout
-    assert "it passes (issue 43; at times: 3 of 25 runs, 50 wanted)" in run.stdout
+def test_listed_intermittent_failure_may_pass_and_is_printed(tmp_path: Path) -> None:
+    result = run_pytest(tmp_path, RED + "\n" + PASSES + AT_TIMES)
+    assert result.returncode == 0, result.stdout
+    assert "it passes (issue 43; at times: 3 of 25 runs, 50 wanted)" in result.stdout
 
 
-def test_a_seed_of_the_soak_is_no_test(tmp_path: Path) -> None:
+def test_soak_seed_is_printed_but_is_not_a_test(tmp_path: Path) -> None:
     soak = "soak 5024 | python benchmarks/restarts.py --first 5024 | two requests are lost | issue 47"
-    run = ran(tmp_path, RED + "\n" + soak)
-    assert run.returncode == 0, run.stdout
-    assert "known red: soak 5024" in run.stdout
+    result = run_pytest(tmp_path, RED + "\n" + soak)
+    assert result.returncode == 0, result.stdout
+    assert "known red: soak 5024" in result.stdout
     assert [entry.soak_seed for entry in read(RED + "\n" + soak)] == [None, 5024]
 
 
 @pytest.mark.parametrize(
-    ("lines", "said"),
+    ("lines", "message"),
     [
         ("", "1 failed"),
         (RED + "\n" + PASSES, "1 failed"),
@@ -91,16 +91,16 @@
         (RED + " | at times: 3 of 25 runs, 20 wanted", "not 'at times"),
     ],
 )
-def test_a_list_is_no_way_to_a_pass(tmp_path: Path, lines: str, said: str) -> None:
-    run = ran(tmp_path, lines)
-    assert run.returncode != 0 and said in run.stdout + run.stderr
+def test_invalid_or_outdated_list_fails_the_run(tmp_path: Path, lines: str, message: str) -> None:
+    result = run_pytest(tmp_path, lines)
+    assert result.returncode != 0 and message in result.stdout + result.stderr
 
 
-def test_a_part_of_the_tests_can_be_run_by_itself(tmp_path: Path) -> None:
-    assert ran(tmp_path, RED, "tests/test_a.py::test_green").returncode == 0
+def test_single_test_can_be_run_despite_other_entries(tmp_path: Path) -> None:
+    assert run_pytest(tmp_path, RED, "tests/test_a.py::test_green").returncode == 0
 
 
-def test_a_line_says_test_command_what_was_seen_and_issue() -> None:
+def test_entry_has_test_command_observation_and_issue() -> None:
     (entry,) = read(RED + "\n\n")
     assert (entry.test, entry.command) == ("tests/test_a.py::test_red[1]", "pytest tests/test_a.py")
     assert (entry.seen, entry.issue) == ("a stand of over a second", "issue 43")
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -1,12 +1,9 @@
-"""Signals that come until the process has gone: it has done its work, and ends with 0.
+"""Signals that arrive while a process is ending: it has completed its work and must exit with status 0.
 
-What happens. The program gives up its handlers before it ends, and a signal that comes then has its default effect. Of
-115 restarts under a series of SIGTERM, SIGHUP and SIGINT three ended by SIGTERM (-15) and not with 0, which a
-supervisor reads as a crash; of 25 more, two by SIGINT (-2).
-
-Why. A loop that closes gives each signal its default effect back, and the interpreter needs some 20 ms more: with a
-signal each 0.5 ms the status is -15 or -2 each time. SIGHUP was ignored there, but between the loop's handler and
-that stood its default effect for a moment (-1 in one run of two).
+An event loop that closes restores the default effect of each signal, and the interpreter then takes another 20 ms or
+so to exit. A SIGTERM or SIGINT that arrived in that time ended the process with -15 or -2, which a supervisor takes
+for a crash: 3 of 115 and 2 of 25 restarts under a series of signals, and every run with a signal each 0.5 ms. SIGHUP
+was ignored after the loop's handler was removed, but had its default effect for a moment (-1 in one run of two).
 """
 
 from __future__ import annotations
@@ -25,26 +22,26 @@
 from tests.loopback import PATIENCE, config_data, member
 from tests.workers.test_run import TEXT
 
-BETWEEN_S = 0.0005  # the interpreter takes some 20 ms for its own end
+SIGNAL_INTERVAL_S = 0.0005  # the interpreter takes about 20 ms to exit
 
 
-def exit_status(process: subprocess.Popen[str], says: str, numbers: list[signal.Signals]) -> int:
-    """Stop a process that has said that it serves, and send these signals in turn until it is gone."""
+def exit_status(process: subprocess.Popen[str], ready_text: str, numbers: list[signal.Signals]) -> int:
+    """Stop a process once it has logged `ready_text`, and send these signals in turn until it has exited."""
     assert process.stderr is not None
-    while says not in (line := process.stderr.readline()):
-        assert line, "it did not start"
-    Thread(target=process.stderr.read, daemon=True).start()  # a full pipe would hold up what it logs
+    while ready_text not in (line := process.stderr.readline()):
+        assert line, "the process did not start"
+    Thread(target=process.stderr.read, daemon=True).start()  # a full pipe would block its logging
     process.send_signal(signal.SIGTERM)
-    ends = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + PATIENCE
     while process.poll() is None:
-        assert time.monotonic() < ends, "it does not end"
+        assert time.monotonic() < deadline, "the process does not exit"
         for number in numbers:
             process.send_signal(number)
-            time.sleep(BETWEEN_S)
+            time.sleep(SIGNAL_INTERVAL_S)
     return process.wait()
 
 
-SERIES = [
+SIGNAL_SERIES = [
     [signal.SIGTERM],
     [signal.SIGINT],
     [signal.SIGHUP],
@@ -52,8 +49,8 @@
 ]
 
 
-@pytest.mark.parametrize("numbers", SERIES, ids=["TERM", "INT", "HUP", "all"])
-def test_the_platforms_balancer_ends_with_0(tmp_path: Path, numbers: list[signal.Signals]) -> None:
+@pytest.mark.parametrize("numbers", SIGNAL_SERIES, ids=["TERM", "INT", "HUP", "all"])
+def test_platform_balancer_exits_with_0(tmp_path: Path, numbers: list[signal.Signals]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
     with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
@@ -61,8 +58,8 @@
 
 
 @pytest.mark.parametrize("arguments", [(), ("--workers", "2")], ids=["one", "workers"])
-@pytest.mark.parametrize("numbers", SERIES, ids=["TERM", "INT", "HUP", "all"])
-def test_a_sidecar_and_the_parent_of_workers_end_with_0(
+@pytest.mark.parametrize("numbers", SIGNAL_SERIES, ids=["TERM", "INT", "HUP", "all"])
+def test_sidecar_and_parent_of_workers_exit_with_0(
     tmp_path: Path, numbers: list[signal.Signals], arguments: tuple[str, ...]
 ) -> None:
     path = tmp_path / "passpost.toml"
@@ -71,8 +68,8 @@
         assert exit_status(process, "serves", numbers) == 0
 
 
-def test_many_signals_to_read_the_file_again_are_one_task(tmp_path: Path) -> None:
-    # The parent of workers read its file for each of 2,000 signals a second: it had not ended after 20 minutes.
+def test_many_reload_signals_are_combined(tmp_path: Path) -> None:
+    # The parent of workers read its file again for each of 2,000 signals a second, and had not exited after 20 minutes.
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
     with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
@@ -82,7 +79,7 @@
         begun = time.monotonic()
         for _ in range(400):
             process.send_signal(signal.SIGHUP)
-            time.sleep(BETWEEN_S)
+            time.sleep(SIGNAL_INTERVAL_S)
         process.send_signal(signal.SIGTERM)
         log = process.stderr.read()
         took = time.monotonic() - begun
@@ -90,8 +87,8 @@
     assert 1 <= log.count("configuration read again") <= took / 0.1 + 2
 
 
-def test_a_worker_that_is_ended_in_its_start_is_no_failure() -> None:
-    # The parent ended with 1 where SIGTERM met it within its workers' start, 0.4 to 0.7 s after its own.
+def test_worker_stopped_during_its_start_is_not_a_failure() -> None:
+    # The parent exited with 1 if SIGTERM arrived during the start of its workers, 0.4 to 0.7 s after its own start.
     plan = Plan(2, 10.0, 1.0)
     plan.begin(0.0)
     plan.ready(0, 0.4)
@@ -100,7 +97,7 @@
     assert plan.ended(0, 0, 0.7) == [End(0)]
 
 
-def test_a_worker_that_served_and_died_by_a_signal_is_a_failure() -> None:
+def test_worker_killed_by_a_signal_after_serving_is_a_failure() -> None:
     plan = Plan(1, 10.0, 1.0)
     plan.begin(0.0)
     plan.ready(0, 0.4)
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -1,4 +1,6 @@
-"""Long lists in slices: the same list in the end, none half read, no slice too long, no fleet emptied on the way."""
+"""Long lists in slices: the result is the same list, invalid lists change nothing, slices are bounded in size, and
+the set of servers never runs empty in between.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from passpost import discovery as module
+from passpost import discovery as discovery_module
 from passpost import lists
 from passpost.discovery import Discovery
 from passpost.http1 import Address
@@ -53,7 +55,7 @@
 
 
 @given(listings, st.sampled_from([None, 1, "\t"]), st.integers(1, 5))
-def test_a_list_read_in_slices_is_the_list(data: dict[str, Any], indent: Any, at_once: int) -> None:
+def test_list_parsed_in_slices_equals_the_whole_list(data: dict[str, Any], indent: Any, at_once: int) -> None:
     text = json.dumps(data, indent=indent)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(lists, "ENTRIES_PER_SLICE", at_once)
@@ -61,7 +63,7 @@
 
 
 @given(listings, st.data())
-def test_a_list_with_a_part_missing_is_none(data: dict[str, Any], choose: st.DataObject) -> None:
+def test_truncated_list_is_rejected(data: dict[str, Any], choose: st.DataObject) -> None:
     text = json.dumps(data)
     end = choose.draw(st.integers(0, len(text) - 1))
     with pytest.raises((ValueError, TypeError, LookupError)):
@@ -83,7 +85,7 @@
         '{1: 1, "members": []}',
     ],
 )
-def test_what_is_no_list_is_refused(text: str) -> None:
+def test_invalid_list_is_rejected(text: str) -> None:
     with pytest.raises((ValueError, TypeError, LookupError)):
         read(text)
 
@@ -100,35 +102,35 @@
 
 
 @given(members, members, st.integers(1, 7))
-def test_the_slices_come_to_the_whole_list_and_new_ones_come_before_others_go(
+def test_slices_add_up_to_the_whole_list_and_add_before_they_remove(
     before: dict[int, tuple[int, bool]], after: dict[int, tuple[int, bool]], at_once: int
 ) -> None:
     old, new = listed(before), listed(after)
-    have = {m.server: m for m in old.members}
+    members_so_far = {m.server: m for m in old.members}
     addresses: dict[str, Address] = dict(old.addresses)
-    gone = False
+    removal_seen = False
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(lists, "MEMBERS_PER_UPDATE", at_once)
-        slices = list(lists.changes(dict(have), dict(addresses), new))
+        slices = list(lists.changes(dict(members_so_far), dict(addresses), new))
     assert slices
-    for part, theirs in slices:
+    for part, slice_addresses in slices:
         assert len(part) <= at_once
-        for one in part:
-            if one.readiness is Readiness.GONE:
-                gone = True
-                del have[one.server], addresses[one.server]
+        for changed in part:
+            if changed.readiness is Readiness.GONE:
+                removal_seen = True
+                del members_so_far[changed.server], addresses[changed.server]
             else:
-                assert not gone
-                have[one.server] = one
-                addresses[one.server] = theirs[one.server]
-    assert have == {m.server: m for m in new.members}
+                assert not removal_seen
+                members_so_far[changed.server] = changed
+                addresses[changed.server] = slice_addresses[changed.server]
+    assert members_so_far == {m.server: m for m in new.members}
     assert addresses == new.addresses
     assert sum(len(part) for part, _ in slices) <= len(before) + len(after)
     if old == new:
         assert not any(part for part, _ in slices)
 
 
-class Heard:
+class UpdateRecorder:
     def __init__(self) -> None:
         self.whole: list[ListUpdate] = []
         self.parts: list[tuple[ListUpdate, dict[str, Address]]] = []
@@ -140,35 +142,37 @@
         self.parts.append((update, addresses))
 
 
-def many(count: int, revision: int, start: int = 0, **more: Any) -> dict[str, Any]:
+def long_listing(count: int, revision: int, start: int = 0, **more: Any) -> dict[str, Any]:
     return listing(
         revision, *(member(f"s{i}", f"10.0.0.1:{1 + i}", **more) for i in range(start, start + count))
     )
 
 
-def test_a_list_of_ten_thousand_comes_in_slices_and_a_broken_one_changes_nothing(
+def test_list_of_10_000_is_applied_in_slices_and_an_invalid_one_changes_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(module, "AGENT_POLL_S", 0.001)
+    monkeypatch.setattr(discovery_module, "AGENT_POLL_S", 0.001)
 
     async def test() -> None:
-        agent, heard = FakeServer(answer_json(many(10_000, 2))), Heard()
+        agent, recorder = FakeServer(answer_json(long_listing(10_000, 2))), UpdateRecorder()
         await agent.start()
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
-        discovery.start(heard.tell, heard.part)
+        discovery.start(recorder.tell, recorder.part)
         await until(lambda: len(discovery.members) == 10_000)
-        assert max(len(u.members) for u, _ in heard.parts) <= lists.MEMBERS_PER_UPDATE
-        assert {u.kind for u, _ in heard.parts} == {ListKind.CHANGES}
-        broken = many(10_000, 3, start=5_000)
-        broken["members"][-1]["phase"] = "nonsense"
-        agent.reply = answer_json(broken)
-        seen, told = len(agent.got), len([u for u, _ in heard.parts if u.members])
-        await until(lambda: len(agent.got) > seen + 2)
-        assert len([u for u, _ in heard.parts if u.members]) == told and "s0" in discovery.members
-        agent.reply = answer_json(many(10_000, 4, start=5_000))
+        assert max(len(u.members) for u, _ in recorder.parts) <= lists.MEMBERS_PER_UPDATE
+        assert {u.kind for u, _ in recorder.parts} == {ListKind.CHANGES}
+        invalid = long_listing(10_000, 3, start=5_000)
+        invalid["members"][-1]["phase"] = "nonsense"
+        agent.reply = answer_json(invalid)
+        calls_before, reported_before = len(agent.got), len([u for u, _ in recorder.parts if u.members])
+        await until(lambda: len(agent.got) > calls_before + 2)
+        assert (
+            len([u for u, _ in recorder.parts if u.members]) == reported_before and "s0" in discovery.members
+        )
+        agent.reply = answer_json(long_listing(10_000, 4, start=5_000))
         await until(lambda: "s0" not in discovery.members and len(discovery.members) == 10_000)
         sizes, count = [], 10_000
-        for update, _ in heard.parts[told:]:
+        for update, _ in recorder.parts[reported_before:]:
             count += sum(1 if m.readiness is not Readiness.GONE else -1 for m in update.members)
             sizes.append(count)
         assert min(sizes) >= 10_000 and sizes[-1] == 10_000
@@ -178,16 +182,16 @@
     run(test())
 
 
-def test_a_long_list_that_is_back_unchanged_is_news_too() -> None:
-    # The module asks ever more seldom until it hears that the list is back.
+def test_unchanged_long_list_is_reported() -> None:
+    # The module subscribes less and less often until it is reported_before that the list is available again.
     async def test() -> None:
-        agent, heard = FakeServer(answer_json(listing(2, complete=False))), Heard()
+        agent, recorder = FakeServer(answer_json(listing(2, complete=False))), UpdateRecorder()
         await agent.start()
-        discovery = Discovery(parse_address(agent.host_port), parse_listing(many(150, 2)))
-        discovery.start(heard.tell, heard.part)
+        discovery = Discovery(parse_address(agent.host_port), parse_listing(long_listing(150, 2)))
+        discovery.start(recorder.tell, recorder.part)
         discovery.subscribe()
-        await until(lambda: bool(heard.parts))
-        assert heard.parts[0] == (ListUpdate(ListKind.CHANGES, ()), {})
+        await until(lambda: bool(recorder.parts))
+        assert recorder.parts[0] == (ListUpdate(ListKind.CHANGES, ()), {})
         assert len(discovery.members) == 150
         discovery.stop()
         agent.stop()
@@ -195,26 +199,26 @@
     run(test())
 
 
-def test_requests_are_served_while_a_long_list_changes_over_and_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "AGENT_POLL_S", 0.001)
+def test_requests_are_served_while_a_long_list_keeps_changing(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(discovery_module, "AGENT_POLL_S", 0.001)
 
     async def test() -> None:
         upstream = FakeServer()
         await upstream.start()
 
-        def flapping(turn: int) -> bytes:
+        def alternating_list(turn: int) -> bytes:
             own = member("own", upstream.host_port)
             first = 3_000 * (turn % 2)
             others = [member(f"s{i}", f"127.0.0.1:{1 + i}", "leaving") for i in range(first, first + 3_000)]
             return answer_json(listing(turn + 2, own, *others))
 
-        agent = FakeServer(flapping(0))
+        agent = FakeServer(alternating_list(0))
         await agent.start()
         async with balancer(discovery=agent.host_port) as b:
             await until(lambda: len(b.node.discovery.members) == 3_001)
             client = await b.connect()
             for turn in range(1, 4):
-                agent.reply = flapping(turn)
+                agent.reply = alternating_list(turn)
                 first = f"s{3_000 * (turn % 2)}"
                 while first not in b.node.discovery.members:
                     answer = await client.ask()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings come from the configuration alone: a missing one is named, one drawn at random is kept to."""
+"""Settings come from the configuration only: missing ones are reported by name, and arbitrary ones are applied."""
 
 from __future__ import annotations
 
@@ -26,9 +26,7 @@
         ("contract", "tipAfter"),
     ],
 )
-def test_a_setting_that_the_form_always_has_is_named_if_it_is_missing(
-    part: str, name: str, tmp_path: Path
-) -> None:
+def test_missing_mandatory_setting_is_reported_by_name(part: str, name: str, tmp_path: Path) -> None:
     data = config_data([])
     data["settings"]["discovery"] = "ask"
     data["settings"]["contract"] |= {"cold": 9_000.0, "tipAfter": 700.0}
@@ -54,7 +52,7 @@
     idle=SPANS,
     attempts=st.integers(1, 9),
 )
-def test_whatever_the_settings_say_is_what_is_kept_to(
+def test_arbitrary_settings_are_applied(
     classes: dict[str, tuple[float, str]],
     tenants: dict[str, float],
     connect: float,
@@ -77,20 +75,20 @@
     assert read.settings.max_attempts == attempts
 
 
-def test_two_nodes_of_different_settings_in_one_process_keep_to_their_own() -> None:
-    def short(data: dict[str, Any]) -> None:
+def test_two_nodes_in_one_process_use_their_own_settings() -> None:
+    def short_deadlines(data: dict[str, Any]) -> None:
         for cls in data["settings"]["classes"]:
             cls |= {"target": 100.0, "deadline": 200.0}
         data["settings"]["classes"][0]["name"] = "glance"
         data["settings"]["limits"]["connectTimeout"] = 50.0
 
     async def test() -> None:
-        async with balancer(FakeServer(OK), change=short) as one, balancer(FakeServer(OK)) as other:
-            for b, mine, theirs in ((one, "/glance", "/read"), (other, "/read", "/glance")):
+        async with balancer(FakeServer(OK), change=short_deadlines) as one, balancer(FakeServer(OK)) as other:
+            for b, own_path, foreign_path in ((one, "/glance", "/read"), (other, "/read", "/glance")):
                 client = await b.connect()
-                answer = await client.ask(mine)
+                answer = await client.ask(own_path)
                 assert answer is not None and answer.status == 200
-                answer = await client.ask(theirs)
+                answer = await client.ask(foreign_path)
                 assert answer is not None and answer.status == 404
             nodes: tuple[Node, Node] = (one.node, other.node)
             assert [round(n.within(), 3) for n in nodes] == [0.6, 3.4]
