--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -5,8 +5,8 @@
 
 An entry names a test, or a seed of the soak test (benchmarks/restarts.py reads those). Only these tests are expected
 to fail, and each run prints them. A run fails if an entry names no existing test, if an entry is repeated, or if a
-listed test passes, unless its entry says that it fails only at times: such an entry states how often it failed, and after
-how many passes in a row it is to be removed.
+listed test passes, unless its entry says that it fails only at times: such an entry states how often it failed, and
+after how many passes in a row it is to be removed.
 """
 
 from __future__ import annotations
