--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -17,7 +17,7 @@
 from passpost.streams import Sink, Source
 from passpost.upstreams.attempt import Attempt, Outgoing
 from passpost.upstreams.pool import Upstreams
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.interface import Outcome
 from umberworks.rules import Balancer
 
@@ -63,7 +63,7 @@
 
     def __init__(
         self,
-        settings: face.Settings,
+        settings: interface.Settings,
         seed: int,
         upstreams: Upstreams,
         subscribe: Callable[[], None],
@@ -86,7 +86,7 @@
         self._upstreams, self._subscribe, self._answer_grace_s = upstreams, subscribe, answer_grace
         self._requests: dict[int, _OpenRequest] = {}
         self._last_number = 0
-        self._events: deque[face.Event] = deque()
+        self._events: deque[interface.Event] = deque()
         self._is_handling = False
         # The module compares `up_since_ms` with its clock (0 or less means long ago), so its clock has to be Unix
         # time. The system clock can be set back, so it is read only once and the monotonic clock is added to it.
@@ -107,7 +107,7 @@
 
     # ---- input from sockets, discovery and operators
 
-    def listed(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
+    def listed(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Process an update of the server list, with the addresses of all members.
 
         The addresses are stored first, because the module may send to a new server at once.
@@ -115,21 +115,21 @@
         self._upstreams.route(addresses)
         self._process_list_update(update)
 
-    def listed_part(self, update: face.ListUpdate, addresses: dict[str, Address]) -> None:
+    def listed_part(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Process changes of the server list, with the addresses of the changed members only."""
         self._upstreams.reroute([m.server for m in update.members], addresses)
         self._process_list_update(update)
 
-    def _process_list_update(self, update: face.ListUpdate) -> None:
-        if update.kind in (face.ListKind.SAVED, face.ListKind.WHOLE):
+    def _process_list_update(self, update: interface.ListUpdate) -> None:
+        if update.kind in (interface.ListKind.SAVED, interface.ListKind.WHOLE):
             self._draining.clear()
         for member in update.members:
-            if member.readiness is face.Readiness.DRAINING:
+            if member.readiness is interface.Readiness.DRAINING:
                 self._draining.add(member.server)
             else:
                 self._draining.discard(member.server)
         self.has_upstreams = self.has_upstreams or any(
-            m.readiness is face.Readiness.READY for m in update.members
+            m.readiness is interface.Readiness.READY for m in update.members
         )
         self._post(update)
 
@@ -151,9 +151,9 @@
         if not is_open:
             self._start_deadline_timer(number, request, remaining)
         if upload is not None:
-            upload.on_spent = lambda: self._post(face.BodySpent(number))
+            upload.on_spent = lambda: self._post(interface.BodySpent(number))
         self._post(
-            face.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
+            interface.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
         )
         return number
 
@@ -167,16 +167,18 @@
         request = self._requests.get(number)
         if request is not None and not request.finished:
             self._start_deadline_timer(number, request, remaining)
-            self._post(face.BodyEnded(number, remaining * 1000))
+            self._post(interface.BodyEnded(number, remaining * 1000))
         elif request is not None and request.started_attempt is not None and not self._lasting:
             # The answer started before the body was complete.
             self._start_deadline_timer(number, request, remaining)
 
-    def told(self, event: face.Detached | face.Attached | face.Inherited | face.ListMoved) -> None:
+    def told(
+        self, event: interface.Detached | interface.Attached | interface.Inherited | interface.ListMoved
+    ) -> None:
         """Pass on an operator's command, the state learned by an older version, or a move of the list."""
         self._post(event)
 
-    def learned(self) -> face.Inherited:
+    def learned(self) -> interface.Inherited:
         """Return the learned state for a version that takes over from this one."""
         return self._balancer.learned(self.now())
 
@@ -191,7 +193,7 @@
         if request.started_attempt is not None:
             request.started_attempt.cancel()
         elif self._finish(number, request):
-            self._post(face.ClientLeft(number))
+            self._post(interface.ClientLeft(number))
 
     def _on_deadline(self, number: int) -> None:
         """Fail a request that the module has not answered in time, so that its client always gets an answer.
@@ -216,11 +218,11 @@
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.caller.fail(status)
-            self._post(face.ClientLeft(number))
+            self._post(interface.ClientLeft(number))
 
     # ---- calls to the decision module
 
-    def _post(self, event: face.Event) -> None:
+    def _post(self, event: interface.Event) -> None:
         """Pass an event to the module; events that arise while another is handled are queued."""
         self._events.append(event)
         if self._is_handling:
@@ -232,7 +234,7 @@
         finally:
             self._is_handling = False
 
-    def _handle(self, event: face.Event) -> None:
+    def _handle(self, event: interface.Event) -> None:
         # An exception must fail only the request that it belongs to; the other requests and the process continue.
         try:
             actions = self._balancer.handle(event, self.now())
@@ -247,47 +249,47 @@
                 log.exception("failed to execute action %s", type(action).__name__)
                 self._fail_request_of(action)
 
-    def _fail_request_of(self, cause: face.Event | face.Action) -> None:
+    def _fail_request_of(self, cause: interface.Event | interface.Action) -> None:
         number = getattr(cause, "request", None)
         if number is not None:
             self._abandon(number, 500)
 
-    def _execute(self, action: face.Action) -> None:
+    def _execute(self, action: interface.Action) -> None:
         match action:
-            case face.Send():
+            case interface.Send():
                 self._send(action)
-            case face.SetTimer(at, token):
+            case interface.SetTimer(at, token):
                 delay = max(at - self.now(), 0.0) / 1000
                 asyncio.get_running_loop().call_later(delay, self._on_timer, at, token)
-            case face.Cancel(number, index):
+            case interface.Cancel(number, index):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.cancel()
-            case face.Limit(number, index, timeout):
+            case interface.Limit(number, index, timeout):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.limit(timeout / 1000)
-            case face.Refuse(number, retry_after):
+            case interface.Refuse(number, retry_after):
                 request = self._requests.get(number)
                 if request is not None and self._finish(number, request):
                     request.caller.refuse(retry_after)
-            case face.Fail(number):
+            case interface.Fail(number):
                 request = self._requests.get(number)
                 if request is not None and self._finish(number, request):
                     if request.upstream_error is not None:
                         request.caller.serve(request.upstream_error)
                     else:
                         request.caller.fail(request.failure_status)
-            case face.Subscribe():
+            case interface.Subscribe():
                 self._subscribe()
-            case face.Log(text):
+            case interface.Log(text):
                 log.info("%s", text)
 
     def _on_timer(self, at: float, token: str) -> None:
         self._now_ms = max(self._now_ms, at)  # the loop's timers are coarse and may fire slightly early
-        self._post(face.TimerDue(token))
+        self._post(interface.TimerDue(token))
 
-    def _send(self, action: face.Send) -> None:
+    def _send(self, action: interface.Send) -> None:
         number, server = action.request, action.server
         request = self._requests[number]
         index = len(request.attempts)
@@ -313,9 +315,9 @@
     def _may_go(self, number: int, request: _OpenRequest, stays: bool) -> bool:
         """Whether an attempt may still be sent; checked when it is made, and again once its connection is open.
 
-        Nothing is sent after the final answer, nor a body of which part is gone, nor for a client that has
-        disconnected. Nor to a server that started draining after it was chosen (`stays` is false): the module then
-        chooses again.
+        Nothing is sent after the final answer, nor if part of the body has been consumed already, nor for a client
+        that has disconnected. Nor to a server that started draining after it was chosen (`stays` is false): the module
+        then chooses again.
         """
         upload = request.outgoing.upload
         if not stays or request.finished or (upload is not None and upload.spent):
@@ -340,7 +342,7 @@
         request.started_attempt = request.attempts[index]
         self._finish(number, request)
         sink = request.caller.begin(answer, length, source)
-        self._post(face.AnswerStarted(number, index))
+        self._post(interface.AnswerStarted(number, index))
         return sink
 
     def _on_attempt_ended(
@@ -368,7 +370,7 @@
                 request.caller.serve(answer)
         finally:  # the module must get the outcome even if delivering the answer raised
             self._remove_if_done(number, request)
-            self._post(face.AttemptEnded(number, index, server, outcome, request.finished))
+            self._post(interface.AttemptEnded(number, index, server, outcome, request.finished))
 
     def _finish(self, number: int, request: _OpenRequest) -> bool:
         """Mark a request as finished; True only the first time, when its answer may be sent.
--- a/passpost/lists.py
+++ b/passpost/lists.py
@@ -41,24 +41,24 @@
     """
     fields: dict[str, Any] = {}
     has_members = False
-    at = _expect(text, 0, "{")
+    position = _expect(text, 0, "{")
     while True:
-        name, at = _DECODER.raw_decode(text, at)
+        name, position = _DECODER.raw_decode(text, position)
         if not isinstance(name, str):
             raise ValueError(f"expected a name, not {name!r}")
-        at = _expect(text, at, ":")
+        position = _expect(text, position, ":")
         if name == "members":
             has_members = True
             partial.members.clear()  # of duplicate names the last one counts, as in the json module
             partial.addresses.clear()
-            at = yield from _read_members(text, at, partial)
+            position = yield from _read_members(text, position, partial)
         else:
-            fields[name], at = _DECODER.raw_decode(text, at)
-        at = _skip_space(text, at)
-        if text[at : at + 1] != ",":
+            fields[name], position = _DECODER.raw_decode(text, position)
+        position = _skip_space(text, position)
+        if text[position : position + 1] != ",":
             break
-        at = _skip_space(text, at + 1)
-    if _expect(text, at, "}") != len(text):
+        position = _skip_space(text, position + 1)
+    if _expect(text, position, "}") != len(text):
         raise ValueError("unexpected data after the list")
     if not has_members:
         raise KeyError("members")
@@ -67,24 +67,24 @@
     )
 
 
-def _read_members(text: str, at: int, partial: PartialListing) -> Generator[None, None, int]:
-    at = _expect(text, at, "[")
+def _read_members(text: str, position: int, partial: PartialListing) -> Generator[None, None, int]:
+    position = _expect(text, position, "[")
     entries: list[Any] = []
-    while text[at : at + 1] != "]":
-        entry, at = _DECODER.raw_decode(text, at)
+    while text[position : position + 1] != "]":
+        entry, position = _DECODER.raw_decode(text, position)
         entries.append(entry)
-        at = _skip_space(text, at)
-        if text[at : at + 1] == ",":
-            at = _skip_space(text, at + 1)
-            if text[at : at + 1] == "]":
-                raise ValueError(f"expected an entry at position {at}")
-        elif text[at : at + 1] != "]":
-            raise ValueError(f"expected a comma at position {at}")
+        position = _skip_space(text, position)
+        if text[position : position + 1] == ",":
+            position = _skip_space(text, position + 1)
+            if text[position : position + 1] == "]":
+                raise ValueError(f"expected an entry at position {position}")
+        elif text[position : position + 1] != "]":
+            raise ValueError(f"expected a comma at position {position}")
         if len(entries) >= ENTRIES_PER_SLICE:
             _add_entries(entries, partial)
             yield
     _add_entries(entries, partial)
-    return at + 1
+    return position + 1
 
 
 def _add_entries(entries: list[Any], partial: PartialListing) -> None:
@@ -94,16 +94,16 @@
     entries.clear()
 
 
-def _skip_space(text: str, at: int) -> int:
-    match = _SPACE.match(text, at)
-    return match.end() if match is not None else at
+def _skip_space(text: str, position: int) -> int:
+    match = _SPACE.match(text, position)
+    return match.end() if match is not None else position
 
 
-def _expect(text: str, at: int, sign: str) -> int:
-    at = _skip_space(text, at)
-    if text[at : at + 1] != sign:
-        raise ValueError(f"{sign!r} expected at position {at}")
-    return _skip_space(text, at + 1)
+def _expect(text: str, position: int, character: str) -> int:
+    position = _skip_space(text, position)
+    if text[position : position + 1] != character:
+        raise ValueError(f"{character!r} expected at position {position}")
+    return _skip_space(text, position + 1)
 
 
 def changes(
@@ -115,7 +115,7 @@
     available again.
     """
     members, addresses = new.members, new.addresses
-    before = list(old)
+    old_names = list(old)
     slice_: list[Member] = []
     for i, member in enumerate(members, 1):
         name = member.server
@@ -124,9 +124,9 @@
         if len(slice_) >= MEMBERS_PER_UPDATE or not i % COMPARED_PER_SLICE:
             yield _slice(slice_, new)
             slice_ = []
-    named = {m.server for m in members}
-    for name in before:
-        if name not in named:
+    listed_names = {m.server for m in members}
+    for name in old_names:
+        if name not in listed_names:
             slice_.append(Member(name, Readiness.GONE))
         if len(slice_) >= MEMBERS_PER_UPDATE:
             yield _slice(slice_, new)
@@ -136,8 +136,8 @@
 
 def split(new: Listing) -> Iterator[tuple[tuple[Member, ...], dict[str, Address]]]:
     """Split changes into slices, in their order; always at least one slice, which may be empty."""
-    for at in range(0, max(len(new.members), 1), MEMBERS_PER_UPDATE):
-        yield _slice(list(new.members[at : at + MEMBERS_PER_UPDATE]), new)
+    for start in range(0, max(len(new.members), 1), MEMBERS_PER_UPDATE):
+        yield _slice(list(new.members[start : start + MEMBERS_PER_UPDATE]), new)
 
 
 def _slice(members: list[Member], new: Listing) -> tuple[tuple[Member, ...], dict[str, Address]]:
--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -10,7 +10,7 @@
 import logging
 from collections import Counter
 
-from umberworks import interface as face
+from umberworks import interface
 from umberworks.requests import Request
 from umberworks.rules import Balancer
 
@@ -22,34 +22,34 @@
 class RecordingBalancer(Balancer):
     """Decides like its base class, and logs a line of figures in each second in which an event occurs."""
 
-    def __init__(self, settings: face.Settings, seed: int) -> None:
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._next_line_ms = 0.0
         self._counts: Counter[str] = Counter()
         self._refusing_for_room = False
-        self._event: face.Event | None = None
+        self._event: interface.Event | None = None
 
-    def handle(self, event: face.Event, now: float) -> list[face.Action]:
+    def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         """Handle an event like the base class; count the event and the resulting actions."""
         self._event = event
         match event:
-            case face.RequestArrived():
+            case interface.RequestArrived():
                 self._counts["arrived"] += 1
-            case face.AttemptEnded():
+            case interface.AttemptEnded():
                 self._counts[event.outcome.value.replace(" ", "_")] += 1
         actions = super().handle(event, now)
-        self._counts["sent"] += sum(isinstance(action, face.Send) for action in actions)
+        self._counts["sent"] += sum(isinstance(action, interface.Send) for action in actions)
         if now >= self._next_line_ms:
             self._next_line_ms = now + LINE_INTERVAL_MS
-            log.info("figures %s", self.line(now))
+            log.info("figures %s", self.format_figures(now))
             self._counts.clear()
         return actions
 
-    def line(self, now: float) -> str:
+    def format_figures(self, now: float) -> str:
         """The figures as words of the form name=value; times are multiples of the aim unless the name has a unit."""
         room, ready = self._room, self._fleet.ready
         usual_time = self._median or 1.0
-        parts: dict[str, object] = {
+        figures: dict[str, object] = {
             "now_ms": round(now),
             "open": len(self._requests),
             "waiting": len(self._waiting),
@@ -64,11 +64,11 @@
             "cold": sum(self._slow_start.warmth(s, now) < 1 for s in ready),
             **self._counts,
         }
-        each = " ".join(
+        server_figures = " ".join(
             f"{s.member.server}:{s.in_flight}/{s.served:.0f}/{s.capacity(usual_time, now) * 1000:.1f}"
             for s in sorted(ready, key=lambda s: s.member.server)[:32]
         )
-        return " ".join(f"{name}={value}" for name, value in parts.items()) + f" servers {each}"
+        return " ".join(f"{name}={value}" for name, value in figures.items()) + f" servers {server_figures}"
 
     def _refuse_for_room(self, request: Request, now: float) -> None:
         self._refusing_for_room = True
@@ -79,9 +79,9 @@
 
     def _give_up(self, request: Request) -> None:
         match self._event:
-            case face.RequestArrived():
+            case interface.RequestArrived():
                 reason = "no_crowd" if self._refusing_for_room else "no_connection"
-            case face.TimerDue():
+            case interface.TimerDue():
                 reason = "no_room"
             case _:
                 reason = "no_savings" if self._retries < 1 else "no_try_left"
