--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -270,8 +270,8 @@
         elif self._pushed:
             loop.call_later(AGENT_POLL_S, self._poll_again)
         else:
-            since_contact_ms = (self._monotonic() - self._last_contact) * 1000
-            self._on_update(ListUpdate(ListKind.FAILED, unheard_ms=since_contact_ms), self._addresses)
+            contact_age_ms = (self._monotonic() - self._last_contact) * 1000
+            self._on_update(ListUpdate(ListKind.FAILED, unheard_ms=contact_age_ms), self._addresses)
 
     def _poll_again(self) -> None:
         """Poll the agent again, unless it was stopped or moved meanwhile."""
