--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -47,18 +47,18 @@
 
     def format_figures(self, now: float) -> str:
         """The figures as words of the form name=value; times are multiples of the aim unless the name has a unit."""
-        room, ready = self._room, self._fleet.ready
+        admission, ready = self._room, self._fleet.ready
         usual_time = self._median or 1.0
         figures: dict[str, object] = {
             "now_ms": round(now),
             "open": len(self._requests),
             "waiting": len(self._waiting),
-            "out": room.in_flight,
-            "size": f"{room.limit(len(ready)):.1f}",
-            "mean": f"{room.mean_service_time:.3f}",
-            "base": f"{room.base_service_time:.3f}",
-            "aims_ms": f"{room._served_aims_ms:.0f}",
-            "spent_ms": f"{room._in_flight_time_ms:.0f}",
+            "out": admission.in_flight,
+            "size": f"{admission.limit(len(ready)):.1f}",
+            "mean": f"{admission.mean_service_time:.3f}",
+            "base": f"{admission.base_service_time:.3f}",
+            "aims_ms": f"{admission._served_aims_ms:.0f}",
+            "spent_ms": f"{admission._in_flight_time_ms:.0f}",
             "savings": f"{self._retries:.1f}",
             "counted": int(self._counted),
             "cold": sum(self._slow_start.warmth(s, now) < 1 for s in ready),
