--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -170,7 +170,7 @@
         self._release()
         if self._number is not None:
             number, self._number = self._number, None
-            self._engine.left(number)
+            self._engine.client_disconnected(number)
 
     def lets_go(self) -> bool:
         """Whether its caller has left, so that the open request's id may be used again."""
@@ -304,7 +304,7 @@
             number, self._number, self._current = self._number, None, None
             self._release()
             if number is not None:
-                self._engine.left(number)
+                self._engine.client_disconnected(number)
         elif request in self._waiting:
             self._waiting.remove(request)
         request.upload.drop()
@@ -355,7 +355,7 @@
         waited = now - request.came if upload is None or upload.whole else 0.0  # behind another
         remaining = min(call.remaining - waited, self._server.time_left())
         if remaining <= 0:
-            self._engine.turned_back(call.class_name)
+            self._engine.request_expired(call.class_name)
             self.fail(504)
             return
         # An upstream would take the second for a copy of the first; nor is its sender trusted with what is behind.
@@ -382,7 +382,7 @@
                 self._transport.resume_reading()
         free = self._server.free_connections()
         self._engine = self._server.engine
-        number = self._engine.arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
+        number = self._engine.request_arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
         if self._current is request:  # it may have been answered at once
             self._number = number
 
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -107,7 +107,7 @@
 
     # ---- input from sockets, discovery and operators
 
-    def listed(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
+    def list_updated(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Process an update of the server list, with the addresses of all members.
 
         The addresses are stored first, because the module may send to a new server at once.
@@ -115,7 +115,7 @@
         self._upstreams.route(addresses)
         self._process_list_update(update)
 
-    def listed_part(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
+    def list_slice_updated(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Process changes of the server list, with the addresses of the changed members only."""
         self._upstreams.reroute([m.server for m in update.members], addresses)
         self._process_list_update(update)
@@ -133,7 +133,7 @@
         )
         self._post(update)
 
-    def arrived(
+    def request_arrived(
         self,
         class_name: str,
         tenant: str | None,
@@ -163,7 +163,7 @@
         request.deadline_timer = loop.call_at(request.due_s, self._on_deadline, number)
 
     def body_ended(self, number: int, remaining: float) -> None:
-        """Process the end of a body that was incomplete at `arrived`; the deadline is `remaining` seconds from now."""
+        """Process the end of a body that was still incomplete; the deadline is `remaining` seconds from now."""
         request = self._requests.get(number)
         if request is not None and not request.finished:
             self._start_deadline_timer(number, request, remaining)
@@ -172,7 +172,7 @@
             # The answer started before the body was complete.
             self._start_deadline_timer(number, request, remaining)
 
-    def told(
+    def forward_event(
         self, event: interface.Detached | interface.Attached | interface.Inherited | interface.ListMoved
     ) -> None:
         """Pass on an operator's command, the state learned by an older version, or a move of the list."""
@@ -182,10 +182,10 @@
         """Return the learned state for a version that takes over from this one."""
         return self._balancer.learned(self.now())
 
-    def turned_back(self, class_name: str) -> None:
+    def request_expired(self, class_name: str) -> None:
         """Record a request that was out of time before it was processed; does nothing here, subclasses count it."""
 
-    def left(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """Process the disconnect of a request's client."""
         request = self._requests.get(number)
         if request is None:
@@ -323,7 +323,7 @@
         if not stays or request.finished or (upload is not None and upload.spent):
             return False
         if request.caller.has_left():
-            self.left(number)
+            self.client_disconnected(number)
             return False
         return True
 
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -69,7 +69,7 @@
         )
         self.server = Server(self.engine, config.listen, callers, host)
         self.upstreams.start()
-        self.discovery.start(self.engine.listed, self.engine.listed_part)
+        self.discovery.start(self.engine.list_updated, self.engine.list_slice_updated)
         self.server.start()
 
     def reload(self, config: Config) -> None:
@@ -79,7 +79,7 @@
             log.warning("configuration: a change of %s waits for a restart", ", ".join(ignored))
         self._config = config
         if self.discovery.move(config.discovery):
-            self.engine.told(ListMoved())
+            self.engine.forward_event(ListMoved())
 
     def reload_failed(self) -> None:
         """Record a configuration that could not be used; does nothing here, subclasses count it."""
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -148,7 +148,7 @@
             self._addresses = addresses
         self._older = [engine for engine in self._older if not engine.is_idle()]
         for engine in (self.engine, *self._older):
-            engine.listed(update, addresses)
+            engine.list_updated(update, addresses)
 
     def prepare(
         self, application: Application, file: File, environment: Mapping[str, str]
@@ -167,7 +167,7 @@
                 self.source = source
             if self._members:
                 members = tuple(self._members.values())
-                engine.listed(ListUpdate(ListKind.SAVED, members), self._addresses)
+                engine.list_updated(ListUpdate(ListKind.SAVED, members), self._addresses)
             self._older = [e for e in (*self._older, self.engine) if not e.is_idle()]
             self.engine = self.server.engine = engine
             self.server.check = callers
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -77,7 +77,7 @@
         super().__init__(*args, **more)
         self.tally = Tally(self.classes)
 
-    def arrived(
+    def request_arrived(
         self,
         class_name: str,
         tenant: str | None,
@@ -90,16 +90,16 @@
         counts = self.tally.classes[class_name]
         outgoing.written = partial(_written, counts)
         counted = _Counted(caller, counts, self.tally)
-        return super().arrived(class_name, tenant, remaining, outgoing, counted, free_connections)
+        return super().request_arrived(class_name, tenant, remaining, outgoing, counted, free_connections)
 
-    def left(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """The caller has gone: any count is fine, but the request is not open any more."""
         request = self._requests.get(number)
         if request is not None and isinstance(request.caller, _Counted):
             request.caller.end()
-        super().left(number)
+        super().client_disconnected(number)
 
-    def turned_back(self, class_name: str) -> None:
+    def request_expired(self, class_name: str) -> None:
         """A request was out of time before it was taken up."""
         self.tally.classes[class_name].failed += 1
 
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -108,7 +108,7 @@
         except ValueError as error:
             log.warning("what the other version has learned can't be read: %s", error)
         else:
-            self.engine.told(learned)
+            self.engine.forward_event(learned)
 
     def _share(self) -> None:
         """Two versions are one balancer to the platform: its descriptors are divided."""
@@ -182,11 +182,11 @@
         out, back = rules.difference(self._told, self._store.bans)
         self._told = self._store.bans
         for server in out:
-            self.engine.told(Detached(server))
+            self.engine.forward_event(Detached(server))
             self.upstreams.let_go(server)
         for server, at in back:
             self.upstreams.let_go(server)  # what was kept to it may lead to a process that is no more
-            self.engine.told(Attached(server, at))
+            self.engine.forward_event(Attached(server, at))
 
     def _excluded(self) -> int:
         members = self.discovery.members
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -39,7 +39,7 @@
         super().__init__(*args, **more)
         self._traces: dict[int, _Trace] = {}
 
-    def arrived(
+    def request_arrived(
         self,
         class_name: str,
         tenant: str | None,
@@ -61,7 +61,7 @@
             self._note_written(number)
 
         outgoing.written = note
-        return super().arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
+        return super().request_arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
     def _execute(self, action: face.Action) -> None:
         match action:
