--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -70,17 +70,17 @@
         answer_grace: float,
         host: Host = HOST,
         module: type[Balancer] = Balancer,
-        keeps_failures: bool = False,
-        lasting: bool = False,
+        relay_upstream_errors: bool = False,
+        unbounded_answers: bool = False,
     ) -> None:
         """Create the engine and its decision module, an instance of `module`.
 
         `answer_grace`: seconds after a request's deadline at which the engine itself ends an unanswered request.
-        `keeps_failures`: a failed request is answered with the last error response of an upstream, unchanged.
-        `lasting`: a started answer may continue for as long as it makes progress. Otherwise only a long answer may;
-        one that may still turn out short is bounded by its request's deadline, which each byte extends a little.
+        `relay_upstream_errors`: a failed request is answered with the last error response of an upstream, unchanged.
+        `unbounded_answers`: a started answer may continue for as long as it makes progress. Otherwise only a long one
+        may; one that may still turn out short is bounded by its request's deadline, which each byte extends a little.
         """
-        self._keeps_failures, self._lasting = keeps_failures, lasting
+        self._relay_upstream_errors, self._unbounded_answers = relay_upstream_errors, unbounded_answers
         self._balancer = module(settings, seed)
         self.classes = {c.name: c for c in settings.classes}
         self._upstreams, self._subscribe, self._answer_grace_s = upstreams, subscribe, answer_grace
@@ -168,7 +168,7 @@
         if request is not None and not request.finished:
             self._start_deadline_timer(number, request, remaining)
             self._post(interface.BodyEnded(number, remaining * 1000))
-        elif request is not None and request.started_attempt is not None and not self._lasting:
+        elif request is not None and request.started_attempt is not None and not self._unbounded_answers:
             # The answer started before the body was complete.
             self._start_deadline_timer(number, request, remaining)
 
@@ -357,7 +357,7 @@
         attempt, request.attempts[index] = request.attempts[index], None
         request.unfinished_attempts -= 1
         request.failure_status = 504 if outcome is Outcome.TIMED_OUT else 502
-        if self._keeps_failures and outcome is Outcome.ERROR and answer is not None:
+        if self._relay_upstream_errors and outcome is Outcome.ERROR and answer is not None:
             # 429 and 503 tell the client that a retry is safe, which only the module can decide.
             request.upstream_error = answer if answer.status not in (429, 503) else None
         try:
@@ -380,7 +380,9 @@
         if request.finished:
             return False
         request.finished = True
-        if request.deadline_timer is not None and (request.started_attempt is None or self._lasting):
+        if request.deadline_timer is not None and (
+            request.started_attempt is None or self._unbounded_answers
+        ):
             request.deadline_timer.cancel()
         for attempt in request.attempts:
             if attempt is not None and attempt is not request.started_attempt and not attempt.is_written():
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -124,8 +124,8 @@
             ANSWER_GRACE_S,
             self._host,
             self._module,
-            keeps_failures=True,
-            lasting=True,
+            relay_upstream_errors=True,
+            unbounded_answers=True,
         )
 
     def start(self) -> None:
