--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -155,7 +155,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A caller has connected."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
-        self._ending = self._server.host.ending(transport)
+        self._ending = self._server.host.end_probe(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The caller has gone, or we have closed."""
@@ -545,7 +545,7 @@
         return (
             self._transport is not None
             and not (self._lingers or self._transport.is_closing())
-            and bool(self._server.host.watcher(self._transport)(0))
+            and bool(self._server.host.unread_probe(self._transport)(0))
         )
 
     def close_if_unused(self) -> None:
--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -57,7 +57,7 @@
         self.host, self.monotonic = host, host.monotonic
         self.draining, self.closing = False, False  # not ready any more; each answer closes its connection
         self._ends, self._dealt_until = math.inf, math.inf
-        self._max_open, self._at_once = max_open, host.accept_at_once
+        self._max_open, self._at_once = max_open, host.accepts_per_turn
         self.connections: dict[Connection, None] = {}  # in order of coming: a set's would be chance
         self.open_ids: dict[bytes, Connection] = {}
         self._accepting = False
@@ -230,7 +230,7 @@
         At the limit the connection that is worth least makes room, one a turn, as its descriptor is free only after
         that (in a drain more, as time is short); if all are busy, the queue waits.
         """
-        for _ in range(Host.accept_at_once if self.draining else self._at_once):
+        for _ in range(Host.accepts_per_turn if self.draining else self._at_once):
             full = len(self.connections) >= self._max_open
             spare = self._spare() if full else None
             if full and spare is None:
--- a/passpost/host.py
+++ b/passpost/host.py
@@ -42,7 +42,7 @@
     unix: Callable[[], float] = staticmethod(time.time)  # seconds; may be set back or forward at any time
 
     reuse_port = False  # whether another process may listen on the same address
-    accept_at_once = 64  # connections accepted in a row before others are served
+    accepts_per_turn = 64  # connections accepted in a row before others are served
 
     def listen(self, address: Address, backlog: int) -> Listener:
         """Open a non-blocking listening socket; raises OSError if the address is not available."""
@@ -51,11 +51,11 @@
         listener.setblocking(False)
         return listener
 
-    def watcher(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
+    def unread_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
         """Return a function that, called with 0, is true if the connection has unread bytes or an unread end."""
         return _poll_function(transport, select.POLLIN | select.POLLRDHUP)
 
-    def ending(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
+    def end_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
         """Return a function that, called with 0, is true if the peer has ended sending, even if bytes are unread."""
         return _poll_function(transport, select.POLLRDHUP)
 
--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -193,7 +193,7 @@
     def _write_rest(self, data: bytes) -> None:
         self._unwritten = None
         if self._transport is not None:
-            self._ended_early = bool(self.pool.stage.host.ending(self._transport)(0))
+            self._ended_early = bool(self.pool.stage.host.end_probe(self._transport)(0))
             self._transport.write(data)
             self._written_at = self.pool.stage.now()
 
--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -567,12 +567,12 @@
         """A listener on the simulated network."""
         return self._net.listen(address, backlog)
 
-    def watcher(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
+    def unread_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
         """Whether something lies there unread."""
         assert isinstance(transport, SimTransport)
         return lambda timeout: transport.is_told()
 
-    def ending(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
+    def end_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
         """Whether the other side has ended, whatever lies there before that."""
         assert isinstance(transport, SimTransport)
         return lambda timeout: transport.has_ended()
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -192,7 +192,7 @@
         """With a high-water mark of 0, pause_writing tells of every byte that has not gone out yet."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
         self._transport.set_write_buffer_limits(high=0)
-        self._told = self._owner.host.watcher(transport)
+        self._told = self._owner.host.unread_probe(transport)
 
     def pause_writing(self) -> None:
         """Part of the request is still with us: the upstream can't have begun it."""
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -62,7 +62,7 @@
 class PassedHost(Host):
     """A host whose listening sockets have been passed by the parent."""
 
-    accept_at_once = 1  # the other workers want some too: who takes many is slow for all of them
+    accepts_per_turn = 1  # the other workers want some too: who takes many is slow for all of them
 
     def __init__(self, descriptors: Mapping[str, int]) -> None:
         self._descriptors = descriptors
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -98,7 +98,7 @@
             transport.pause_reading()
             upstream.go_on.set()
             await upstream.ended.wait()
-            await until(lambda: bool(HOST.ending(transport)(0)))
+            await until(lambda: bool(HOST.end_probe(transport)(0)))
             transport.resume_reading()
             was_reset = False
             try:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -378,7 +378,7 @@
 async def unread(b: Balancer) -> None:
     """Until a caller's bytes lie in the kernel."""
     transports = [c._transport for c in b.node.server.connections if c._transport is not None]
-    await until(lambda: any(HOST.watcher(t)(0) for t in transports))
+    await until(lambda: any(HOST.unread_probe(t)(0) for t in transports))
 
 
 def test_an_idle_connection_is_not_closed_on_a_request_that_nobody_has_read() -> None:
