--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -15,7 +15,7 @@
 
 from passpost.engine import Engine
 from passpost.host import Host
-from passpost.http1 import MAX_HEAD, Answer, Headers, end_to_end, write_headers
+from passpost.http1 import MAX_HEAD_BYTES, Answer, Headers, end_to_end, write_headers
 from passpost.streams import Sink, Source, Upload
 from passpost.upstreams.attempt import Outgoing
 from passpost.validation import BadRequestError, Call, Check
@@ -205,7 +205,7 @@
                 self._waiting[-1].keep_alive = False
         except httptools.HttpParserError:
             self._bad = self._bad or 400
-        if self._in_head and self._head_size > MAX_HEAD:
+        if self._in_head and self._head_size > MAX_HEAD_BYTES:
             self._bad = self._bad or 431
         if self._bad and self._upload is not None:
             self._abandon_upload()
--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -12,8 +12,8 @@
 from passpost.callers.connection import Connection
 from passpost.engine import Engine
 from passpost.host import HOST, Host
-from passpost.http1 import MAX_LONG, Address, Headers
-from passpost.streams import LONG
+from passpost.http1 import MAX_STREAM_BYTES, Address, Headers
+from passpost.streams import STREAM_ABOVE_BYTES
 from passpost.validation import Check
 from passpost.validation import check as platform_check
 
@@ -42,9 +42,9 @@
         max_open: int,
         host: Host = HOST,
         check: Check | None = None,
-        max_body: int = MAX_LONG,
+        max_body: int = MAX_STREAM_BYTES,
         name: bytes = b"",
-        kept: int = LONG,
+        kept: int = STREAM_ABOVE_BYTES,
     ) -> None:
         """Without `check` callers are the platform's; with a `name` answers on health say who gives them.
 
--- a/passpost/http1.py
+++ b/passpost/http1.py
@@ -11,11 +11,11 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-MAX_HEAD = 16 * 1024
-MAX_BODY = 64 * 1024  # the protocol's limit for a body that is buffered whole
-MAX_LONG = 40 * 1024 * 1024  # limit for streamed bodies: the longest that peers send, plus a margin
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for a body that is buffered whole
+MAX_STREAM_BYTES = 40 * 1024 * 1024  # limit for a streamed body: the longest that peers send, plus a margin
 
-MAX_ERROR = 1024 * 1024  # limit for the body of an error answer, which is not streamed
+MAX_ERROR_BODY_BYTES = 1024 * 1024  # limit for the body of an error answer, which is not streamed
 
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer "
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        max_body: int = MAX_BODY,
+        max_body: int = MAX_BODY_BYTES,
         bodyless: bool = False,
         long: int | None = None,
         serves: Callable[[Answer], bool] = lambda answer: True,
@@ -124,7 +124,7 @@
                 self._complete.reusable and not self._has_surplus,
             )
         if self._complete is None:
-            if not self._head_done and self._head_size > MAX_HEAD:
+            if not self._head_done and self._head_size > MAX_HEAD_BYTES:
                 raise BadAnswerError("the head is too long")
             self._check_body(self._body)
             return None
@@ -163,7 +163,7 @@
         ):
             self.started = self._may_serve(self.head())
             if not self.started:  # an error answer is not needed in full
-                self._max_body = min(self._max_body, MAX_ERROR)
+                self._max_body = min(self._max_body, MAX_ERROR_BODY_BYTES)
 
     def is_settling(self) -> bool:
         """Whether the head has arrived, the answer is incomplete and its length is unknown."""
--- a/passpost/streams.py
+++ b/passpost/streams.py
@@ -11,8 +11,8 @@
 from typing import Protocol
 
 # Bodies above this many bytes are streamed; those up to it are buffered whole, and such requests can be sent again.
-LONG = 64 * 1024
-AHEAD = 64 * 1024  # bytes of a request's body that are buffered before reading from its client is paused
+STREAM_ABOVE_BYTES = 64 * 1024
+UPLOAD_BUFFER_BYTES = 64 * 1024  # of a request's body; reading from its client pauses when it is full
 
 
 class Reader(Protocol):
@@ -89,7 +89,7 @@
         self._update_hold()
 
     def _update_hold(self) -> None:
-        held = self._buffered_bytes >= AHEAD
+        held = self._buffered_bytes >= UPLOAD_BUFFER_BYTES
         if held is not self._is_held:
             self._is_held = held
             self._hold(held)
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 
 from passpost.host import HOST, Host
-from passpost.http1 import MAX_LONG, Address, Answer
-from passpost.streams import LONG
+from passpost.http1 import MAX_STREAM_BYTES, Address, Answer
+from passpost.streams import STREAM_ABOVE_BYTES
 from passpost.upstreams.attempt import Attempt, Done, Outgoing
 from passpost.upstreams.connection import Connection, Pool
 from umberworks.interface import Outcome
@@ -40,8 +40,8 @@
         max_open: int,
         host: Host = HOST,
         outcome: Callable[[Answer], Outcome] = platform_outcome,
-        max_body: int = MAX_LONG,
-        kept: int = LONG,
+        max_body: int = MAX_STREAM_BYTES,
+        kept: int = STREAM_ABOVE_BYTES,
         too_long: Answer | None = None,
     ) -> None:
         """Answers of up to `kept` bytes are passed on whole, those beyond as they come, up to `max_body`.
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from passpost.http1 import HOP_BY_HOP, MAX_HEAD, MAX_LONG, Headers, without_named
+from passpost.http1 import HOP_BY_HOP, MAX_HEAD_BYTES, MAX_STREAM_BYTES, Headers, without_named
 from umberworks.interface import Effect, RequestClass
 
 READY = b"/health/ready"
@@ -86,7 +86,7 @@
         size += len(name) + len(value) + 4
         if lower_name not in dropped:
             forwarded.append(pair)
-    if size > MAX_HEAD:
+    if size > MAX_HEAD_BYTES:
         raise BadRequestError(431)
     if has_duplicate or not _TARGET.fullmatch(target) or not _FIELD_VALUE.fullmatch(b"".join(values)):
         raise BadRequestError(400)
@@ -107,7 +107,9 @@
 ) -> Call | None:
     """Return the platform's call that a head describes, None for a readiness check; or raise BadRequestError."""
     target = origin_form(target)
-    fields, passed_on = check_message(target, version, headers, MAX_LONG, _PLATFORM_SINGLE, _NOT_FORWARDED)
+    fields, passed_on = check_message(
+        target, version, headers, MAX_STREAM_BYTES, _PLATFORM_SINGLE, _NOT_FORWARDED
+    )
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
     if method not in (b"GET", b"POST"):
         raise BadRequestError(405)
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -13,7 +13,7 @@
 import pytest
 
 from passpost.host import HOST
-from passpost.streams import LONG
+from passpost.streams import STREAM_ABOVE_BYTES
 from tests.loopback import Balancer, FakeServer, Got, Writer, balancer, run, until
 from tests.test_long import PATTERN, answer_of
 
@@ -62,7 +62,7 @@
     return connection._transport
 
 
-@pytest.mark.parametrize("size", [0, 10, LONG, LONG + 1, len(PATTERN)])
+@pytest.mark.parametrize("size", [0, 10, STREAM_ABOVE_BYTES, STREAM_ABOVE_BYTES + 1, len(PATTERN)])
 @pytest.mark.parametrize("target", ["/read", "/pay"])
 def test_a_close_makes_it_whole(size: int, target: str) -> None:
     # /pay is unsafe to repeat: a second attempt would run it twice.
@@ -86,7 +86,11 @@
     # Its caller was slower than its upstream: the last bytes and the end are read in one turn. libuv then tells of a
     # reset as of a close, and a caller would get half an answer for the whole.
     async def test() -> None:
-        upstream = Giver(PATTERN[: LONG + 1], PATTERN[LONG + 1 : LONG + 1000], resets)
+        upstream = Giver(
+            PATTERN[: STREAM_ABOVE_BYTES + 1],
+            PATTERN[STREAM_ABOVE_BYTES + 1 : STREAM_ABOVE_BYTES + 1000],
+            resets,
+        )
         async with balancer(upstream) as b:
             loop = asyncio.get_running_loop()
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
@@ -108,7 +112,9 @@
                 was_reset = True
             client.close()
             if version == "1.0":  # there is no last chunk to be missed
-                assert was_reset is resets and (resets or got.endswith(PATTERN[LONG + 1 : LONG + 1000]))
+                assert was_reset is resets and (
+                    resets or got.endswith(PATTERN[STREAM_ABOVE_BYTES + 1 : STREAM_ABOVE_BYTES + 1000])
+                )
             else:
                 assert got.endswith(b"\r\n0\r\n\r\n") is not resets
             await until(b.node.engine.is_idle)
@@ -116,7 +122,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("size", [0, 10, LONG])
+@pytest.mark.parametrize("size", [0, 10, STREAM_ABOVE_BYTES])
 def test_a_reset_ends_nothing_that_is_still_here(size: int) -> None:
     # Nothing has gone to the caller: another server is asked, but not for what may have run and must not run twice.
     async def test() -> None:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -9,8 +9,8 @@
 import pytest
 
 from passpost.callers import connection
-from passpost.http1 import MAX_LONG
-from passpost.streams import AHEAD, LONG, Upload
+from passpost.http1 import MAX_STREAM_BYTES
+from passpost.streams import STREAM_ABOVE_BYTES, UPLOAD_BUFFER_BYTES, Upload
 from passpost.upstreams import connection as upstream_connection
 from tests.loopback import Client, Reader, Writer, balancer, run, until
 
@@ -111,9 +111,9 @@
         upstream = Taker(script)
         async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, 3 * LONG) + bytes(2 * LONG))
+            client.writer.write(head_of(client, 3 * STREAM_ABOVE_BYTES) + bytes(2 * STREAM_ABOVE_BYTES))
             await until(lambda: len(upstream.heads) == 1)
-            client.writer.write(bytes(LONG))
+            client.writer.write(bytes(STREAM_ABOVE_BYTES))
             assert (await answer_of(client.reader))[1] == b"ok"
             told = upstream.heads[0].partition(b"X-Remaining: ")[2].partition(b"\r\n")[0]
             assert float(told) == 9.0
@@ -152,9 +152,9 @@
     go_on = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
-        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * LONG) + b"a" * 10)
+        writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * STREAM_ABOVE_BYTES) + b"a" * 10)
         await go_on.wait()
-        writer.write(b"b" * (2 * LONG - 10))
+        writer.write(b"b" * (2 * STREAM_ABOVE_BYTES - 10))
 
     async def test() -> None:
         async with balancer(Taker(script)) as b:
@@ -163,7 +163,9 @@
             await client.reader.readuntil(b"\r\n\r\n")
             assert await client.reader.readexactly(10) == b"a" * 10
             go_on.set()
-            assert await client.reader.readexactly(2 * LONG - 10) == b"b" * (2 * LONG - 10)
+            assert await client.reader.readexactly(2 * STREAM_ABOVE_BYTES - 10) == b"b" * (
+                2 * STREAM_ABOVE_BYTES - 10
+            )
 
     run(test())
 
@@ -272,7 +274,7 @@
                 count += 1
                 await asyncio.sleep(0)
             upload = caller._current.upload  # type: ignore[union-attr]
-            assert upload is not None and upload._buffered_bytes < AHEAD + 1024 * 1024
+            assert upload is not None and upload._buffered_bytes < UPLOAD_BUFFER_BYTES + 1024 * 1024
             go_on.set()
             left = 32 * MB - 64 * 1024 * count
             client.writer.write(b"x" * left)
@@ -297,12 +299,12 @@
         taker = Taker(script)
         async with balancer(taker) as b:
             told = await b.connect()
-            told.writer.write(head_of(told, MAX_LONG + 1))
+            told.writer.write(head_of(told, MAX_STREAM_BYTES + 1))
             assert (await told.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
             found = await b.connect()
             found.writer.write(head_of(found, None))
             chunk = b"%x\r\n%b\r\n" % (MB, b"x" * MB)
-            for _ in range(MAX_LONG // MB + 1):
+            for _ in range(MAX_STREAM_BYTES // MB + 1):
                 found.writer.write(chunk)
                 await found.writer.drain()
             assert (await found.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
@@ -325,7 +327,7 @@
     async def test() -> None:
         async with balancer(Taker(script)) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, MB) + b"x" * (LONG + 1))
+            client.writer.write(head_of(client, MB) + b"x" * (STREAM_ABOVE_BYTES + 1))
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 408 ")
             await ended.wait()
             await until(lambda: b.node.engine.is_idle())
@@ -464,12 +466,12 @@
     held, spent = Held(), list[bool]()
     upload = Upload(None, held)
     upload.on_spent = lambda: spent.append(True)
-    for _ in range(AHEAD // 1_000 + 1):
+    for _ in range(UPLOAD_BUFFER_BYTES // 1_000 + 1):
         upload.feed(b"x" * 1_000)
     assert held.said == [True] and not spent
     while upload.take() is not None:
         pass
     assert held.said == [True, False] and spent == [True]
-    upload.feed(b"x" * AHEAD)
+    upload.feed(b"x" * UPLOAD_BUFFER_BYTES)
     upload.drop()
     assert held.said == [True, False, True, False] and upload.is_empty()
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -11,7 +11,7 @@
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import listen
-from passpost.streams import LONG
+from passpost.streams import STREAM_ABOVE_BYTES
 from tests.loopback import config_data, member
 from tests.virtual import simulated
 
@@ -86,10 +86,10 @@
 @pytest.mark.parametrize("pause", [0.2, 1.9])
 def test_a_long_answer_is_not_cut_while_it_is_still_given(pause: float) -> None:
     # A byte a step is far less than any rate: by time for bytes alone it was cut 1.6 s after its request's time.
-    body = [(0.1, bytes(LONG + 1)), *[(pause, b"x")] * 20]
-    size = LONG + 1 + 20
+    body = [(0.1, bytes(STREAM_ABOVE_BYTES + 1)), *[(pause, b"x")] * 20]
+    size = STREAM_ABOVE_BYTES + 1 + 20
     got, took = played([head(size), *body], size)
-    assert got == bytes(LONG + 1) + b"x" * 20 and took >= 20 * pause
+    assert got == bytes(STREAM_ABOVE_BYTES + 1) + b"x" * 20 and took >= 20 * pause
 
 
 def test_a_long_answer_that_stands_still_is_cut_once_nobody_may_wait_for_more() -> None:
@@ -99,5 +99,5 @@
 
 
 def test_an_answer_that_may_still_be_short_ends_in_its_requests_time() -> None:
-    got, took = played([head(LONG + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None)
+    got, took = played([head(STREAM_ABOVE_BYTES + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None)
     assert 0 < len(got) < 20 and 0.5 <= took <= 0.6
