--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -68,7 +68,7 @@
                 if not answer.reusable:
                     self.close()
                 return answer
-        if (answer := parser.ended()) is not None:
+        if (answer := parser.completed_by_close()) is not None:
             # The close delimits it; if it was a reset, the truncated body is not valid JSON.
             self.close()
             return answer
--- a/passpost/http1.py
+++ b/passpost/http1.py
@@ -66,26 +66,26 @@
 class AnswerReader:
     """Parses the one answer that is expected on a connection.
 
-    A close-delimited answer ends with its connection (RFC 9112, section 6.3, rule 8): `ended` has to be called then,
-    but only after an orderly close, because a reset doesn't complete an answer.
+    A close-delimited answer ends with its connection (RFC 9112, section 6.3, rule 8): `completed_by_close` returns it
+    then, but must be called only after an orderly close, because a reset doesn't complete an answer.
     """
 
     def __init__(
         self,
         max_body: int = MAX_BODY_BYTES,
         bodyless: bool = False,
-        long: int | None = None,
+        stream_above: int | None = None,
         serves: Callable[[Answer], bool] = lambda answer: True,
-        at_once: bool = False,
+        stream_at_once: bool = False,
     ) -> None:
         """Set the limits; by default the whole body is buffered, up to `max_body` bytes.
 
-        `bodyless`: the answer is to a HEAD request. `long`: an answer whose body exceeds so many bytes, and for which
-        `serves` is true, is streamed: `started` is set, and `take` returns the received part of the body. `at_once`:
-        such an answer is streamed from its head on, without a limit on its length.
+        `bodyless`: the answer is to a HEAD request. `stream_above`: an answer is streamed if its body exceeds so many
+        bytes and `serves` is true for it; `is_streaming` is set then, and `take_body` returns what has been received.
+        `stream_at_once`: such an answer is streamed from its head on, without a limit on its length.
         """
-        self._stream_above_bytes, self._may_serve, self._stream_at_once = long, serves, at_once
-        self.started = False  # the body is streamed; collect it with `take`
+        self._stream_above_bytes, self._may_serve, self._stream_at_once = stream_above, serves, stream_at_once
+        self.is_streaming = False  # the body is streamed; collect it with `take_body`
         self.length: int | None = None  # of its body, if it has a Content-Length
         self._body_bytes = 0
         self._bodyless = bodyless  # its Content-Length is that of a body that is not sent
@@ -112,7 +112,7 @@
             self._has_surplus = True
         if self._too_long:
             raise TooLongError("the body is too long")
-        if self.started:
+        if self.is_streaming:
             if self._body_bytes > self._max_body and not self._stream_at_once:
                 raise BadAnswerError("the body is too long")
             if self._complete is None:
@@ -133,12 +133,15 @@
             return Answer(self._complete.status, self._complete.headers, self._complete.body, False)
         return self._complete
 
-    def ended(self) -> Answer | None:
+    def completed_by_close(self) -> Answer | None:
         """The answer that the close of its connection completes; None if the close truncates it."""
         if self._complete is not None or not self._head_done or self.length is not None or self._is_chunked():
             return None
         return Answer(
-            self._parser.get_status_code(), self._headers, b"" if self.started else bytes(self._body), False
+            self._parser.get_status_code(),
+            self._headers,
+            b"" if self.is_streaming else bytes(self._body),
+            False,
         )
 
     def _may_have_body(self) -> bool:
@@ -153,7 +156,7 @@
         """The answer without its body, once its head has arrived."""
         return Answer(self._parser.get_status_code(), self._headers, b"", False)
 
-    def start(self) -> None:
+    def start_streaming(self) -> None:
         """Stream the body from now on, even if it may turn out to be short."""
         if (
             self._head_done
@@ -161,11 +164,11 @@
             and self._stream_above_bytes is not None
             and not self._bodyless
         ):
-            self.started = self._may_serve(self.head())
-            if not self.started:  # an error answer is not needed in full
+            self.is_streaming = self._may_serve(self.head())
+            if not self.is_streaming:  # an error answer is not needed in full
                 self._max_body = min(self._max_body, MAX_ERROR_BODY_BYTES)
 
-    def is_settling(self) -> bool:
+    def has_unknown_length(self) -> bool:
         """Whether the head has arrived, the answer is incomplete and its length is unknown."""
         return (
             self._head_done
@@ -174,7 +177,7 @@
             and self._stream_above_bytes is not None
         )
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """Return the part of the body received since the last call, and drop it here."""
         data = bytes(self._body)
         self._body.clear()
@@ -213,7 +216,7 @@
                 (self._stream_at_once and self._may_have_body())
                 or (self.length is not None and self.length > self._stream_above_bytes)
             ):
-                self.start()
+                self.start_streaming()
 
     def on_body(self, data: bytes) -> None:
         """Keep a piece of the body; one piece beyond the limit is enough to detect the excess."""
@@ -223,9 +226,9 @@
             if (
                 self._stream_above_bytes is not None
                 and self._body_bytes > self._stream_above_bytes
-                and not self.started
+                and not self.is_streaming
             ):
-                self.start()
+                self.start_streaming()
 
     def on_message_complete(self) -> None:
         """Complete the answer, unless it is an interim one (1xx), which the final one follows."""
@@ -234,6 +237,8 @@
             return
         if status >= 200:
             keep = self._parser.should_keep_alive()
-            self._complete = Answer(status, self._headers, b"" if self.started else bytes(self._body), keep)
+            self._complete = Answer(
+                status, self._headers, b"" if self.is_streaming else bytes(self._body), keep
+            )
             return
         self._headers, self._head_done = [], False
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -224,12 +224,12 @@
             else:
                 attempt.end(Outcome.BROKEN)
             return
-        if reader.started:
+        if reader.is_streaming:
             self._pass_on(attempt, reader)
             if self._attempt is not attempt:
                 return  # nobody wants it, or it is cut
         if answer is None:
-            if self._settle is None and not reader.started and reader.is_settling():
+            if self._settle is None and not reader.is_streaming and reader.has_unknown_length():
                 self._settle = asyncio.get_running_loop().call_later(SETTLE_S, self._settled)
             return
         self._unsettle()
@@ -248,7 +248,7 @@
             if not attempt.start(reader.head(), reader.length, self):
                 attempt.end(Outcome.CANCELLED)
                 return
-        if attempt.sink is not None and (data := reader.take()):
+        if attempt.sink is not None and (data := reader.take_body()):
             self._passed += len(data)
             attempt.sink.write(data)
 
@@ -257,8 +257,8 @@
         self._settle = None
         attempt, reader = self._attempt, self._reader
         if attempt is not None and reader is not None:
-            reader.start()
-            if reader.started:
+            reader.start_streaming()
+            if reader.is_streaming:
                 self._pass_on(attempt, reader)
 
     def _unsettle(self) -> None:
@@ -275,7 +275,7 @@
         attempt, reader = self._attempt, self._reader
         answer = None
         if reader is not None and not self.unwritten and not self._was_reset():
-            answer = reader.ended()
+            answer = reader.completed_by_close()
         if attempt is not None and answer is not None:
             self._unsettle()
             attempt.end(self._owner.outcome(answer), answer)
