--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -259,7 +259,7 @@
     def on_body(self, data: bytes) -> None:
         """A piece of the body."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         if seen + len(data) > (self._server.max_body if self._call is not None else self._server.kept):
             self._bad = self._bad or 413
         elif self._bad:
@@ -352,7 +352,7 @@
             self._finish(200 if self._server.is_ready() else 503, self._server.says_who)
             return
         upload, now = request.upload, self._monotonic()
-        waited = now - request.came if upload is None or upload.whole else 0.0  # behind another
+        waited = now - request.came if upload is None or upload.is_complete else 0.0  # behind another
         remaining = min(call.remaining - waited, self._server.time_left())
         if remaining <= 0:
             self._engine.request_expired(call.class_name)
@@ -538,7 +538,7 @@
     def is_owed(self) -> bool:
         """Whether a request whose last byte has come waits for its answer; one that lives on has begun its own."""
         requests = (r for r in (self._current, *self._waiting) if r is not None)
-        return any(r.upload is None or r.upload.whole for r in requests) and not self.is_streaming()
+        return any(r.upload is None or r.upload.is_complete for r in requests) and not self.is_streaming()
 
     def has_unread(self) -> bool:
         """Whether bytes have come that nobody has read: a request among them has been taken."""
@@ -584,7 +584,7 @@
     def _is_slow(self, now: float) -> bool:
         """Whether the body that is being read comes slower than it may."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         return not self._held and now - self._head_at > BODY_S + seen / BODY_RATE
 
     def sweep(self, now: float) -> None:
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -147,11 +147,11 @@
         number = self._last_number
         request = self._requests[number] = _OpenRequest(caller, outgoing)
         upload = outgoing.upload
-        is_open = upload is not None and not upload.whole
+        is_open = upload is not None and not upload.is_complete
         if not is_open:
             self._start_deadline_timer(number, request, remaining)
         if upload is not None:
-            upload.on_spent = lambda: self._post(interface.BodySpent(number))
+            upload.on_consumed = lambda: self._post(interface.BodySpent(number))
         self._post(
             interface.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
         )
@@ -320,7 +320,7 @@
         then chooses again.
         """
         upload = request.outgoing.upload
-        if not stays or request.finished or (upload is not None and upload.spent):
+        if not stays or request.finished or (upload is not None and upload.is_consumed):
             return False
         if request.caller.has_left():
             self.client_disconnected(number)
--- a/passpost/streams.py
+++ b/passpost/streams.py
@@ -27,10 +27,10 @@
 
     def __init__(self, length: int | None, hold: Callable[[bool], None]) -> None:
         """`length`: bytes in the body, None if chunked. `hold` pauses (True) or resumes reading from the client."""
-        self.length, self.seen = length, 0
-        self.whole = False  # the last byte has been received
-        self.spent = False  # part of it has been taken, so the request can't be sent again
-        self.on_spent: Callable[[], None] = lambda: None
+        self.length, self.received_bytes = length, 0
+        self.is_complete = False  # the last byte has been received
+        self.is_consumed = False  # part of it has been taken, so the request can't be sent again
+        self.on_consumed: Callable[[], None] = lambda: None
         self._hold, self._is_held = hold, False
         self._pieces: deque[bytes] = deque()
         self._buffered_bytes = 0
@@ -38,7 +38,7 @@
 
     def feed(self, data: bytes) -> None:
         """Add received bytes."""
-        self.seen += len(data)
+        self.received_bytes += len(data)
         self._buffered_bytes += len(data)
         self._pieces.append(data)
         if self._reader is not None:
@@ -47,7 +47,7 @@
 
     def end(self) -> None:
         """Mark the body as completely received."""
-        self.whole = True
+        self.is_complete = True
         if self._reader is not None:
             self._reader.ready()
 
@@ -62,20 +62,20 @@
             self._reader = None
 
     def take(self) -> bytes | None:
-        """Remove and return the next piece, or None. Taking a piece makes the body spent."""
+        """Remove and return the next piece, or None. Taking a piece marks the body as consumed."""
         if not self._pieces:
             return None
         piece = self._pieces.popleft()
         self._buffered_bytes -= len(piece)
-        if not self.spent:
-            self.spent = True
-            self.on_spent()
+        if not self.is_consumed:
+            self.is_consumed = True
+            self.on_consumed()
         self._update_hold()
         return piece
 
     def is_ending(self) -> bool:
         """Whether the next piece is the last one of a body of known length."""
-        return self.length is not None and self.seen >= self.length and len(self._pieces) == 1
+        return self.length is not None and self.received_bytes >= self.length and len(self._pieces) == 1
 
     def is_empty(self) -> bool:
         """Whether all received bytes have been taken."""
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -113,7 +113,7 @@
             self._transport.write(
                 piece if upload.length is not None else b"%x\r\n%b\r\n" % (len(piece), piece)
             )
-        if upload.whole and upload.is_empty() and self.unwritten and not self._blocked:
+        if upload.is_complete and upload.is_empty() and self.unwritten and not self._blocked:
             if upload.length is None:
                 if not attempt.request.is_wanted():
                     return
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -465,7 +465,7 @@
 def test_an_upload_is_held_while_nobody_takes_it_and_spent_once_somebody_has() -> None:
     held, spent = Held(), list[bool]()
     upload = Upload(None, held)
-    upload.on_spent = lambda: spent.append(True)
+    upload.on_consumed = lambda: spent.append(True)
     for _ in range(UPLOAD_BUFFER_BYTES // 1_000 + 1):
         upload.feed(b"x" * 1_000)
     assert held.said == [True] and not spent
