--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -369,7 +369,7 @@
         self._server.open_ids[call.txn] = self
         length = len(request.body) if upload is None else upload.length
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
-        passed_on = write_headers(call.passed_on)
+        passed_on = write_headers(call.forwarded_headers)
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, passed_on, framing)
         is_head = call.method == b"HEAD"
         outgoing = Outgoing(
--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -14,7 +14,15 @@
 from passpost.http1 import HOP_BY_HOP, Headers
 from passpost.operator.model import Application, File
 from passpost.operator.routes import Routes
-from passpost.validation import NUMBER, SINGLE, TOKEN, BadRequestError, Call, check_message, origin_form
+from passpost.validation import (
+    NUMBER,
+    SINGLE_FIELDS,
+    TOKEN,
+    BadRequestError,
+    Call,
+    check_message,
+    origin_form,
+)
 
 
 class PlainCallers:
@@ -33,7 +41,7 @@
         self._deadline = identity.deadline_header.lower().encode()
         self._deadline_name = identity.deadline_header.encode()
         keys = {c.key_header.lower().encode() for c in application.classes if c.key_header is not None}
-        self._single = SINGLE | {self._id.lower(), self._tenant, self._deadline, *keys}
+        self._single = SINGLE_FIELDS | {self._id.lower(), self._tenant, self._deadline, *keys}
         self._run = f"{application.name}-{run}"
         self._count = itertools.count(1)
         self._added: Headers = [
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -10,10 +10,10 @@
 from passpost.http1 import HOP_BY_HOP, MAX_HEAD_BYTES, MAX_STREAM_BYTES, Headers, without_named
 from umberworks.interface import Effect, RequestClass
 
-READY = b"/health/ready"
+READY_PATH = b"/health/ready"
 
-SINGLE = frozenset({b"host", b"content-length", b"transfer-encoding"})
-_PLATFORM_SINGLE = SINGLE | {b"x-txn", b"x-org", b"x-remaining", b"idempotency-key"}
+SINGLE_FIELDS = frozenset({b"host", b"content-length", b"transfer-encoding"})
+_PLATFORM_SINGLE = SINGLE_FIELDS | {b"x-txn", b"x-org", b"x-remaining", b"idempotency-key"}
 _NOT_FORWARDED = HOP_BY_HOP | {b"x-remaining"}
 _FIELD_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
 TOKEN = re.compile(rb"[\x21-\x7e]+")  # for ids and idempotency keys, which upstreams compare byte for byte
@@ -41,7 +41,7 @@
     remaining: float
     method: bytes
     target: bytes
-    passed_on: Headers
+    forwarded_headers: Headers
     deadline_header: bytes = b"X-Remaining"
     idle_s: float = 0.0  # above 0: the answer is streamed and may pause for so many seconds
 
@@ -70,8 +70,8 @@
     """Validate a request head; return its fields by lower-case name, and the headers to forward.
 
     Ambiguous messages raise BadRequestError, so that no upstream can interpret them differently than the balancer.
-    `single` names the fields that may occur only once and includes SINGLE; `dropped` names the fields that are not
-    forwarded and includes HOP_BY_HOP. `max_body` is the limit for Content-Length in bytes.
+    `single` names the fields that may occur only once and includes SINGLE_FIELDS; `dropped` names the fields that are
+    not forwarded and includes HOP_BY_HOP. `max_body` is the limit for Content-Length in bytes.
     """
     fields: dict[bytes, bytes] = {}
     forwarded: Headers = []
@@ -107,14 +107,14 @@
 ) -> Call | None:
     """Return the platform's call that a head describes, None for a readiness check; or raise BadRequestError."""
     target = origin_form(target)
-    fields, passed_on = check_message(
+    fields, forwarded_headers = check_message(
         target, version, headers, MAX_STREAM_BYTES, _PLATFORM_SINGLE, _NOT_FORWARDED
     )
     length, coding = fields.get(b"content-length"), fields.get(b"transfer-encoding")
     if method not in (b"GET", b"POST"):
         raise BadRequestError(405)
     path = target.partition(b"?")[0]
-    if path == READY:
+    if path == READY_PATH:
         return None
     cls = classes.get(path.split(b"/")[1].decode("ascii"))
     if cls is None:
@@ -134,4 +134,4 @@
             raise BadRequestError(400)
         remaining = min(float(remaining_field), remaining)
     tenant = fields[b"x-org"].decode("latin-1") if b"x-org" in fields else None
-    return Call(cls.name, txn, tenant, remaining, method, target, passed_on)
+    return Call(cls.name, txn, tenant, remaining, method, target, forwarded_headers)
