--- a/passpost/node.py
+++ b/passpost/node.py
@@ -90,14 +90,14 @@
         self.server.limit(int(callers * share))
         self.upstreams.limit(int(upstreams * share))
 
-    def within(self) -> float:
+    def drain_time_s(self) -> float:
         """Seconds that a planned restart allows for a drain after SIGTERM."""
         longest = max(c.deadline_ms for c in self._config.settings.classes) / 1000
         return min(longest, DEADLINE_CAP_S) + KILL_AFTER_S - SHUTDOWN_MARGIN_S
 
     async def stop(self) -> None:
         """Answer all accepted requests, then close everything."""
-        await self.server.drain(self.within())
+        await self.server.drain(self.drain_time_s())
         self.close()
 
     def close(self) -> None:
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -128,9 +128,9 @@
             self._offer = None  # whoever comes now has nothing to take over
         try:
             if self._successors:
-                await self.server.hand_over(self.within())
+                await self.server.hand_over(self.drain_time_s())
             else:
-                await self.server.drain(self.within())
+                await self.server.drain(self.drain_time_s())
         finally:
             self.close()
             self.endpoint.close()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -91,7 +91,7 @@
                 answer = await client.ask(foreign_path)
                 assert answer is not None and answer.status == 404
             nodes: tuple[Node, Node] = (one.node, other.node)
-            assert [round(n.within(), 3) for n in nodes] == [0.6, 3.4]
+            assert [round(n.drain_time_s(), 3) for n in nodes] == [0.6, 3.4]
             assert [n.upstreams._connect_timeout for n in nodes] == [0.05, 5.0]
 
     run(test())
