--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -311,10 +311,12 @@
 
     async def _apply_in_slices(self, listing: Listing, on_slice: OnUpdate) -> None:
         """Apply the changes of a long list in slices; `members` shows the applied part in between."""
-        from passpost import lists
+        from passpost import long_lists
 
         whole, reported = listing.complete, False
-        slices = lists.changes(self.members, self._addresses, listing) if whole else lists.split(listing)
+        slices = (
+            long_lists.changes(self.members, self._addresses, listing) if whole else long_lists.split(listing)
+        )
         for members, addresses in slices:
             for member in members:
                 if member.readiness is Readiness.GONE:
@@ -332,10 +334,10 @@
         """Parse the body of an answer; a long one in slices, so that other tasks can run."""
         if len(body) < SLICED_LIST_BYTES:
             return parse_listing(json.loads(body))
-        from passpost import lists
+        from passpost import long_lists
 
-        partial = lists.PartialListing()
-        for _ in lists.read(body.decode(), partial):
+        partial = long_lists.PartialListing()
+        for _ in long_lists.read(body.decode(), partial):
             await asyncio.sleep(0)
         assert partial.listing is not None
         return partial.listing
--- a/tests/test_lists.py
+++ b/tests/test_long_lists.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from passpost import discovery as discovery_module
-from passpost import lists
+from passpost import long_lists
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import Listing, parse_address, parse_listing
@@ -21,8 +21,8 @@
 
 
 def read(text: str) -> Listing:
-    partial = lists.PartialListing()
-    for _ in lists.read(text, partial):
+    partial = long_lists.PartialListing()
+    for _ in long_lists.read(text, partial):
         assert partial.listing is None
     assert partial.listing is not None
     return partial.listing
@@ -58,7 +58,7 @@
 def test_list_parsed_in_slices_equals_the_whole_list(data: dict[str, Any], indent: Any, at_once: int) -> None:
     text = json.dumps(data, indent=indent)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(lists, "ENTRIES_PER_SLICE", at_once)
+        patch.setattr(long_lists, "ENTRIES_PER_SLICE", at_once)
         assert read(f" {text}\n") == parse_listing(json.loads(text))
 
 
@@ -110,8 +110,8 @@
     addresses: dict[str, Address] = dict(old.addresses)
     removal_seen = False
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(lists, "MEMBERS_PER_UPDATE", at_once)
-        slices = list(lists.changes(dict(members_so_far), dict(addresses), new))
+        patch.setattr(long_lists, "MEMBERS_PER_UPDATE", at_once)
+        slices = list(long_lists.changes(dict(members_so_far), dict(addresses), new))
     assert slices
     for part, slice_addresses in slices:
         assert len(part) <= at_once
@@ -159,7 +159,7 @@
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
         discovery.start(recorder.tell, recorder.part)
         await until(lambda: len(discovery.members) == 10_000)
-        assert max(len(u.members) for u, _ in recorder.parts) <= lists.MEMBERS_PER_UPDATE
+        assert max(len(u.members) for u, _ in recorder.parts) <= long_lists.MEMBERS_PER_UPDATE
         assert {u.kind for u, _ in recorder.parts} == {ListKind.CHANGES}
         invalid = long_listing(10_000, 3, start=5_000)
         invalid["members"][-1]["phase"] = "nonsense"
