--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -63,11 +63,11 @@
         self.end()
         self._sink.finish()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Count it failed."""
         self._counts.failed += self._is_open
         self.end()
-        self._sink.cut()
+        self._sink.abort()
 
 
 class CountingEngine(Engine):
