--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -1,7 +1,7 @@
 """Client of the discovery service: fetches the server list, watches it and reports its changes.
 
-Discovery counts a change as announced to a balancer at a fixed time, whether or not the balancer received it. The
-time-outs here are chosen so that no answer that carries such a change is abandoned early.
+Discovery counts a change as announced to a balancer after a bounded time, even if the balancer has not received it.
+The time-outs here are chosen so that no answer that may carry such a change is abandoned early.
 """
 
 from __future__ import annotations
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -30,7 +30,7 @@
 
 
 def connection_limits(sockets: int) -> tuple[int, int]:
-    """Numbers of client and of upstream connections that fit into so many file descriptors."""
+    """Numbers of client and of upstream connections that fit into this number of file descriptors."""
     total_share = CALLERS_SHARE + UPSTREAMS_SHARE
     available = min(sockets * total_share, sockets - RESERVED_DESCRIPTORS)
     return int(available * CALLERS_SHARE / total_share), int(available * UPSTREAMS_SHARE / total_share)
--- a/passpost/signals.py
+++ b/passpost/signals.py
@@ -28,7 +28,7 @@
             loop.add_signal_handler(number, stop)
 
     def _schedule_reload(self) -> None:
-        """Reload once for all signals until then; at once if the last reload is long enough ago."""
+        """Schedule one reload for all pending signals, at once if the last reload is long enough ago."""
         if self._pending is None:
             self._pending = self._loop.call_at(self._next_reload_at, self._run_reload)
 
--- a/passpost/streams.py
+++ b/passpost/streams.py
@@ -1,7 +1,7 @@
 """Streaming of long request and answer bodies with back-pressure, so that few bytes are buffered.
 
 The sending side is paused while the receiving side is slower. The first part of a request body is
-kept until some of it has been sent upstream; from then on the request can't be sent again, which the module is told.
+kept until some of it has been sent upstream; from then on the request can't be sent again, and the module is informed.
 """
 
 from __future__ import annotations
--- a/passpost/validation.py
+++ b/passpost/validation.py
@@ -43,7 +43,7 @@
     target: bytes
     forwarded_headers: Headers
     deadline_header: bytes = b"X-Remaining"
-    idle_s: float = 0.0  # above 0: the answer is streamed and may pause for so many seconds
+    idle_s: float = 0.0  # above 0: the answer is streamed and may pause for this many seconds
 
 
 # Takes a request's method, target, version and headers; returns None for a readiness check.
