--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -116,7 +116,7 @@
             self._connection.write(b"0\r\n\r\n")
         self._connection.finish_long()
 
-    def abort(self) -> None:
+    def truncate(self) -> None:
         """The rest does not come: the connection ends short of the length, or of the last chunk, or by a reset."""
         self._connection.abort(reset=self.to_the_end)
 
--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -51,7 +51,7 @@
         `on_sent` is called when the request is sent.
         """
         if self._stream is None or self._stream[0].at_eof():
-            self.close()
+            self.disconnect()
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self._stream = await asyncio.open_connection(*self.address)
         on_sent()
@@ -66,15 +66,15 @@
         while (data := await reader.read(65536)) != b"":
             if (answer := parser.feed(data)) is not None:
                 if not answer.reusable:
-                    self.close()
+                    self.disconnect()
                 return answer
         if (answer := parser.completed_by_close()) is not None:
             # The close delimits it; if it was a reset, the truncated body is not valid JSON.
-            self.close()
+            self.disconnect()
             return answer
         raise EOFError("discovery closed the connection before the end of its answer")
 
-    def close(self) -> None:
+    def disconnect(self) -> None:
         """Close the connection if it is open."""
         if self._stream is not None:
             self._stream[1].close()
@@ -98,7 +98,7 @@
         """Whether a call is pending or about to be made."""
         return self.task is not None and not self.task.done()
 
-    def cancel(self) -> None:
+    def abort(self) -> None:
         """Abort the pending call and make no further ones."""
         if self.task is not None:
             self.task.cancel()
@@ -177,7 +177,7 @@
         self._stopped = True
         self._retire_previous()
         for subscription in (self._current, *self._retired):
-            subscription.cancel()
+            subscription.abort()
 
     def _note_contact(self) -> None:
         self._last_contact = self._monotonic()
@@ -209,7 +209,7 @@
         if previous is None:
             return
         if self._pushed and previous.address != self._current.address:
-            previous.cancel()
+            previous.abort()
         elif previous.is_active():
             previous.retired = True
             self._retired.add(previous)
@@ -262,7 +262,7 @@
             log.warning("discovery: bad answer: %s: %s", type(error).__name__, error)
             subscription.revision = None
         finally:
-            connection.close()
+            connection.disconnect()
             self._retired.discard(subscription)
         subscription.task = None
         if subscription is not self._current:
--- a/passpost/http1.py
+++ b/passpost/http1.py
@@ -81,7 +81,7 @@
         """Set the limits; by default the whole body is buffered, up to `max_body` bytes.
 
         `bodyless`: the answer is to a HEAD request. `stream_above`: an answer is streamed if its body exceeds this
-        number of bytes and `serves` is true for it; `is_streaming` is set then, and `take_body` returns what has been received.
+        number of bytes and `serves` is true for it; then `is_streaming` is set and `take_body` returns what has come.
         `stream_at_once`: such an answer is streamed from its head on, without a limit on its length.
         """
         self._stream_above_bytes, self._may_serve, self._stream_at_once = stream_above, serves, stream_at_once
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -63,11 +63,11 @@
         self.end()
         self._sink.finish()
 
-    def abort(self) -> None:
+    def truncate(self) -> None:
         """Count it failed."""
         self._counts.failed += self._is_open
         self.end()
-        self._sink.abort()
+        self._sink.truncate()
 
 
 class CountingEngine(Engine):
--- a/passpost/streams.py
+++ b/passpost/streams.py
@@ -104,7 +104,7 @@
     def finish(self) -> None:
         """End the body, which is complete."""
 
-    def abort(self) -> None:
+    def truncate(self) -> None:
         """End an incomplete body in a way that the client can detect."""
 
 
--- a/passpost/upstreams/attempt.py
+++ b/passpost/upstreams/attempt.py
@@ -118,7 +118,7 @@
         if self.connection is not None:
             self.connection.drop()
         if self.sink is not None and outcome is not Outcome.SERVED:
-            self.sink.abort()
+            self.sink.truncate()
         done(outcome, answer)
 
     def cancel(self) -> None:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -64,9 +64,9 @@
     """Parse the text of the file; raises KnownRedError if it is invalid."""
     entries = [read_entry(line) for line in text.splitlines() if line.strip()]
     tests = [entry.test for entry in entries]
-    for test in tests:
-        if tests.count(test) > 1:
-            raise KnownRedError(f"{FILE_NAME}: listed twice: {test}")
+    for test_id in tests:
+        if tests.count(test_id) > 1:
+            raise KnownRedError(f"{FILE_NAME}: listed twice: {test_id}")
     return entries
 
 
