--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -93,19 +93,19 @@
 members = st.dictionaries(st.integers(0, 40), st.tuples(st.integers(0, 2), st.booleans()), max_size=40)
 
 
-def listed(which: dict[int, tuple[int, bool]]) -> Listing:
+def listing_of(servers: dict[int, tuple[int, bool]]) -> Listing:
     named = tuple(
         Member(f"s{i}", Readiness.DRAINING if draining else Readiness.READY)
-        for i, (_, draining) in which.items()
+        for i, (_, draining) in servers.items()
     )
-    return Listing(1, True, named, {f"s{i}": ("10.0.0.1", port) for i, (port, _) in which.items()})
+    return Listing(1, True, named, {f"s{i}": ("10.0.0.1", port) for i, (port, _) in servers.items()})
 
 
 @given(members, members, st.integers(1, 7))
 def test_slices_add_up_to_the_whole_list_and_add_before_they_remove(
     before: dict[int, tuple[int, bool]], after: dict[int, tuple[int, bool]], at_once: int
 ) -> None:
-    old, new = listed(before), listed(after)
+    old, new = listing_of(before), listing_of(after)
     members_so_far = {m.server: m for m in old.members}
     addresses: dict[str, Address] = dict(old.addresses)
     removal_seen = False
@@ -135,10 +135,10 @@
         self.whole: list[ListUpdate] = []
         self.parts: list[tuple[ListUpdate, dict[str, Address]]] = []
 
-    def tell(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
+    def on_update(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
         self.whole.append(update)
 
-    def part(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
+    def on_slice(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
         self.parts.append((update, addresses))
 
 
@@ -157,7 +157,7 @@
         agent, recorder = FakeServer(answer_json(long_listing(10_000, 2))), UpdateRecorder()
         await agent.start()
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
-        discovery.start(recorder.tell, recorder.part)
+        discovery.start(recorder.on_update, recorder.on_slice)
         await until(lambda: len(discovery.members) == 10_000)
         assert max(len(u.members) for u, _ in recorder.parts) <= long_lists.MEMBERS_PER_UPDATE
         assert {u.kind for u, _ in recorder.parts} == {ListKind.CHANGES}
@@ -188,7 +188,7 @@
         agent, recorder = FakeServer(answer_json(listing(2, complete=False))), UpdateRecorder()
         await agent.start()
         discovery = Discovery(parse_address(agent.host_port), parse_listing(long_listing(150, 2)))
-        discovery.start(recorder.tell, recorder.part)
+        discovery.start(recorder.on_update, recorder.on_slice)
         discovery.subscribe()
         await until(lambda: bool(recorder.parts))
         assert recorder.parts[0] == (ListUpdate(ListKind.CHANGES, ()), {})
