--- a/passpost/discovery.py
+++ b/passpost/discovery.py
@@ -271,7 +271,7 @@
             loop.call_later(AGENT_POLL_S, self._poll_again)
         else:
             contact_age_ms = (self._monotonic() - self._last_contact) * 1000
-            self._on_update(ListUpdate(ListKind.FAILED, unheard_ms=contact_age_ms), self._addresses)
+            self._on_update(ListUpdate(ListKind.FAILED, since_contact_ms=contact_age_ms), self._addresses)
 
     def _poll_again(self) -> None:
         """Poll the agent again, unless it was stopped or moved meanwhile."""
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -151,7 +151,7 @@
         if not is_open:
             self._start_deadline_timer(number, request, remaining)
         if upload is not None:
-            upload.on_consumed = lambda: self._post(interface.BodySpent(number))
+            upload.on_consumed = lambda: self._post(interface.BodyDiscarded(number))
         self._post(
             interface.RequestArrived(number, class_name, remaining * 1000, tenant, free_connections, is_open)
         )
@@ -173,12 +173,13 @@
             self._start_deadline_timer(number, request, remaining)
 
     def forward_event(
-        self, event: interface.Detached | interface.Attached | interface.Inherited | interface.ListMoved
+        self,
+        event: interface.Detached | interface.Attached | interface.LearnedState | interface.DiscoveryMoved,
     ) -> None:
         """Pass on an operator's command, the state learned by an older version, or a move of the list."""
         self._post(event)
 
-    def learned(self) -> interface.Inherited:
+    def learned(self) -> interface.LearnedState:
         """Return the learned state for a version that takes over from this one."""
         return self._balancer.learned(self.now())
 
@@ -193,7 +194,7 @@
         if request.started_attempt is not None:
             request.started_attempt.cancel()
         elif self._finish(number, request):
-            self._post(interface.ClientLeft(number))
+            self._post(interface.ClientDisconnected(number))
 
     def _on_deadline(self, number: int) -> None:
         """Fail a request that the module has not answered in time, so that its client always gets an answer.
@@ -218,7 +219,7 @@
         request = self._requests.get(number)
         if request is not None and self._finish(number, request):
             request.caller.fail(status)
-            self._post(interface.ClientLeft(number))
+            self._post(interface.ClientDisconnected(number))
 
     # ---- calls to the decision module
 
@@ -265,7 +266,7 @@
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.cancel()
-            case interface.Limit(number, index, timeout):
+            case interface.SetAttemptTimeout(number, index, timeout):
                 request = self._requests.get(number)
                 if request is not None and (attempt := request.attempts[index]) is not None:
                     attempt.limit(timeout / 1000)
@@ -342,7 +343,7 @@
         request.started_attempt = request.attempts[index]
         self._finish(number, request)
         sink = request.caller.begin(answer, length, source)
-        self._post(interface.AnswerStarted(number, index))
+        self._post(interface.ResponseStarted(number, index))
         return sink
 
     def _on_attempt_ended(
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -11,7 +11,7 @@
 from passpost.engine import Engine
 from passpost.host import HOST, Host
 from passpost.upstreams.pool import Upstreams
-from umberworks.interface import ListMoved
+from umberworks.interface import DiscoveryMoved
 from umberworks.rules import Balancer
 
 log = logging.getLogger("passpost")
@@ -54,7 +54,7 @@
         self.discovery = discovery(
             config.discovery,
             config.known,
-            not settings.list_is_asked,
+            not settings.pulls_list,
             settings.ask_within_ms / 1000,
             host.monotonic,
         )
@@ -79,7 +79,7 @@
             log.warning("configuration: a change of %s waits for a restart", ", ".join(ignored))
         self._config = config
         if self.discovery.move(config.discovery):
-            self.engine.forward_event(ListMoved())
+            self.engine.forward_event(DiscoveryMoved())
 
     def reload_failed(self) -> None:
         """Record a configuration that could not be used; does nothing here, subclasses count it."""
--- a/passpost/ops/heritage.py
+++ b/passpost/ops/heritage.py
@@ -6,19 +6,21 @@
 import math
 from dataclasses import astuple
 
-from umberworks.interface import Inherited, Known
+from umberworks.interface import LearnedState, ServerEstimate
 
 
-def write(learned: Inherited) -> bytes:
+def write(learned: LearnedState) -> bytes:
     """One line, without its end. A ceiling that does not bind is null, as JSON has no infinity."""
     servers = []
     for known in learned.servers:
         values = astuple(known)
-        servers.append([*values[:-1], None if math.isinf(known.ceiling) else known.ceiling])
+        servers.append(
+            [*values[:-1], None if math.isinf(known.concurrency_ceiling) else known.concurrency_ceiling]
+        )
     return json.dumps({"base": learned.base, "servers": servers}, separators=(",", ":")).encode()
 
 
-def read(line: bytes) -> Inherited:
+def read(line: bytes) -> LearnedState:
     """The same again; raises ValueError if it is none."""
     try:
         data = json.loads(line)
@@ -26,7 +28,7 @@
         for name, since, served, busy, usual, carries, ceiling in data["servers"]:
             most = math.inf if ceiling is None else float(ceiling)
             numbers = float(since), float(served), float(busy), float(usual), float(carries)
-            servers.append(Known(str(name), *numbers, most))
-        return Inherited(float(data["base"]), tuple(servers))
+            servers.append(ServerEstimate(str(name), *numbers, most))
+        return LearnedState(float(data["base"]), tuple(servers))
     except (KeyError, TypeError, RecursionError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
--- a/passpost/recorder.py
+++ b/passpost/recorder.py
@@ -26,7 +26,7 @@
         super().__init__(settings, seed)
         self._next_line_ms = 0.0
         self._counts: Counter[str] = Counter()
-        self._refusing_for_room = False
+        self._refusing_overload = False
         self._event: interface.Event | None = None
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
@@ -47,20 +47,20 @@
 
     def format_figures(self, now: float) -> str:
         """The figures as words of the form name=value; times are multiples of the aim unless the name has a unit."""
-        admission, ready = self._room, self._fleet.ready
+        load, ready = self._load, self._fleet.ready
         usual_time = self._median or 1.0
         figures: dict[str, object] = {
             "now_ms": round(now),
             "open": len(self._requests),
-            "waiting": len(self._waiting),
-            "out": admission.in_flight,
-            "size": f"{admission.limit(len(ready)):.1f}",
-            "mean": f"{admission.mean_service_time:.3f}",
-            "base": f"{admission.base_service_time:.3f}",
-            "aims_ms": f"{admission._served_aims_ms:.0f}",
-            "spent_ms": f"{admission._in_flight_time_ms:.0f}",
+            "waiting": len(self._wait_queue),
+            "out": load.in_flight,
+            "size": f"{load.limit(len(ready)):.1f}",
+            "mean": f"{load.mean_service_time:.3f}",
+            "base": f"{load.base_service_time:.3f}",
+            "aims_ms": f"{load._served_aims_ms:.0f}",
+            "spent_ms": f"{load._in_flight_time_ms:.0f}",
             "savings": f"{self._retries:.1f}",
-            "counted": int(self._counted),
+            "counted": int(self._counts_usable),
             "cold": sum(self._slow_start.warmth(s, now) < 1 for s in ready),
             **self._counts,
         }
@@ -70,20 +70,20 @@
         )
         return " ".join(f"{name}={value}" for name, value in figures.items()) + f" servers {server_figures}"
 
-    def _refuse_for_room(self, request: Request, now: float) -> None:
-        self._refusing_for_room = True
+    def _refuse_overload(self, request: Request, now: float) -> None:
+        self._refusing_overload = True
         try:
-            super()._refuse_for_room(request, now)
+            super()._refuse_overload(request, now)
         finally:
-            self._refusing_for_room = False
+            self._refusing_overload = False
 
-    def _give_up(self, request: Request) -> None:
+    def _refuse_or_fail(self, request: Request) -> None:
         match self._event:
             case interface.RequestArrived():
-                reason = "no_crowd" if self._refusing_for_room else "no_connection"
+                reason = "no_crowd" if self._refusing_overload else "no_connection"
             case interface.TimerDue():
                 reason = "no_room"
             case _:
                 reason = "no_savings" if self._retries < 1 else "no_try_left"
         self._counts[reason] += 1
-        super()._give_up(request)
+        super()._refuse_or_fail(request)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -35,7 +35,7 @@
     now = engine.now()
     balancer = engine._balancer
     for age, expected in ((0.0, 0.25), (12_000.0, 0.625), (24_000.0, 1.0)):
-        server = type("Server", (), {"member": Member("a", up_since_ms=now - age), "back_at": 0.0})
+        server = type("Server", (), {"member": Member("a", up_since_ms=now - age), "reattached_at": 0.0})
         assert balancer._slow_start.warmth(server, now) == pytest.approx(expected)  # type: ignore[arg-type]
 
 
