--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -63,11 +63,11 @@
         self.end()
         self._sink.finish()
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         """Count the request as failed, unless it is no longer open: its answer was cut off."""
         self._counters.failed += self._is_open
         self.end()
-        self._sink.cut()
+        self._sink.truncate()
 
 
 class CountingEngine(Engine):
@@ -77,7 +77,7 @@
         super().__init__(*args, **kwargs)
         self.metrics = Metrics(self.classes)
 
-    def arrived(
+    def request_arrived(
         self,
         class_name: str,
         tenant: str | None,
@@ -90,9 +90,11 @@
         counters = self.metrics.classes[class_name]
         outgoing.written = partial(_count_attempt, counters)
         counting_caller = _CountingCaller(caller, counters, self.metrics)
-        return super().arrived(class_name, tenant, remaining, outgoing, counting_caller, free_connections)
+        return super().request_arrived(
+            class_name, tenant, remaining, outgoing, counting_caller, free_connections
+        )
 
-    def left(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """Count the request as no longer open, as the caller has gone.
 
         Any count of its end would be acceptable; it is left uncounted.
@@ -100,9 +102,9 @@
         request = self._requests.get(number)
         if request is not None and isinstance(request.caller, _CountingCaller):
             request.caller.end()
-        super().left(number)
+        super().client_disconnected(number)
 
-    def turned_back(self, class_name: str) -> None:
+    def request_expired(self, class_name: str) -> None:
         """Count as failed a request whose time had run out before it was accepted."""
         self.metrics.classes[class_name].failed += 1
 
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -118,7 +118,7 @@
         except ValueError as error:
             log.warning("what the other version has learned can't be read: %s", error)
         else:
-            self.engine.told(learned)
+            self.engine.forward_event(learned)
 
     def _share_descriptors(self) -> None:
         """Divide the descriptors between two running versions, which the platform limits as one balancer."""
@@ -141,9 +141,9 @@
             self._handover_server = None  # a version that starts from now on has nothing to take over
         try:
             if self._successors:
-                await self.server.hand_over(self.within())
+                await self.server.hand_over(self.drain_time_s())
             else:
-                await self.server.drain(self.within())
+                await self.server.drain(self.drain_time_s())
         finally:
             self.close()
             self.endpoint.close()
@@ -197,11 +197,11 @@
         detached, attached_at_ms = rules.diff(self._applied, self._store.state)
         self._applied = self._store.state
         for server in detached:
-            self.engine.told(Detached(server))
+            self.engine.forward_event(Detached(server))
             self.upstreams.let_go(server)
         for server, at in attached_at_ms:
             self.upstreams.let_go(server)  # kept connections may lead to a process that no longer exists
-            self.engine.told(Attached(server, at))
+            self.engine.forward_event(Attached(server, at))
 
     def _count_excluded(self) -> int:
         """How many listed upstreams get no requests: they are detached, draining or gone."""
--- a/passpost/trace/discovery.py
+++ b/passpost/trace/discovery.py
@@ -4,7 +4,7 @@
 
 import logging
 
-from passpost.discovery import Discovery, Line
+from passpost.discovery import Discovery, DiscoveryConnection
 from passpost.host import HOST
 from passpost.http1 import BadAnswerError
 from passpost.listing import Listing
@@ -19,12 +19,12 @@
 class TracedDiscovery(Discovery):
     """Follows the server list as `Discovery` does, and logs how each call ended."""
 
-    async def _call(self, line: Line, revision: int | None, wait_ms: int) -> Listing:
+    async def _call(self, connection: DiscoveryConnection, revision: int | None, wait_ms: int) -> Listing:
         start = HOST.unix()
         end = "dropped"
         away: tuple[tuple[str, str], ...] = ()
         try:
-            listing = await super()._call(line, revision, wait_ms)
+            listing = await super()._call(connection, revision, wait_ms)
             end = "answered"
             away = tuple((m.server, _PHASES[m.readiness]) for m in listing.members if m.readiness in _PHASES)
             return listing
@@ -44,7 +44,7 @@
             # A local agent is called many times a second: its calls are logged only if they fail or tell of a
             # server that leaves.
             if not (self._pushed and end == "answered" and not away):
-                place = f"{line.address[0]}:{line.address[1]}"
+                place = f"{connection.address[0]}:{connection.address[1]}"
                 took_ms = round((HOST.unix() - start) * 1000)
                 log.info(
                     "%s",
