--- a/passpost/trace/tables.py
+++ b/passpost/trace/tables.py
@@ -8,7 +8,7 @@
 
 from passpost.trace.model import ListCallEntry, RequestEnd, RequestEntry
 
-Row = tuple[str, dict[str, int]]
+Row = tuple[str, dict[str, int]]  # a name, and counts by their names
 
 
 @dataclass(frozen=True, slots=True)
