--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -111,8 +111,9 @@
     async def drain(self, within: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
         """Shut down without losing a request: all are answered `within` this many seconds.
 
-        At first only readiness ends and clients keep their connections. In the last `closing_phase_s` seconds of that time
-        each answer closes its connection. The accept queue counts as accepted, so it is emptied up to the end.
+        At first only readiness ends and clients keep their connections. In the last `closing_phase_s` seconds of
+        that time each answer closes its connection. Connections in the accept queue count as accepted, so the queue
+        is emptied up to the end.
         """
         await self._stop_once(self._drain(within, closing_phase_s))
 
--- a/passpost/upstreams/attempt.py
+++ b/passpost/upstreams/attempt.py
@@ -1,6 +1,6 @@
-"""A request as it goes on to upstreams, and one attempt at it.
+"""A request as it is sent to upstreams, and one attempt at it.
 
-Nothing is ever sent a second time from here: every attempt is one that the module asked for.
+Nothing in here retries: every attempt is one that the decision module asked for.
 """
 
 from __future__ import annotations
@@ -22,22 +22,24 @@
 
 @dataclass(slots=True)
 class Outgoing:
-    """A request as it goes on, but for the time left, which is known when it is written."""
+    """A request as it is sent, except for the remaining time, which is set when it is written."""
 
     head: bytes
     body: bytes
     deadline_header: bytes = b"X-Remaining"
-    bodyless: bool = False  # its answer has no body, whatever its length says
-    written: Callable[[], None] | None = None  # told of each attempt whose last byte has gone out
+    bodyless: bool = False  # the answer has no body, whatever its Content-Length says (HEAD)
+    written: Callable[[], None] | None = None  # called for each attempt whose last byte has been sent
     upload: Upload | None = None  # a long body, in place of `body`
-    idle_s: float = 0.0  # above 0: its answer is passed on from its head on, and may stand still for so long
-    longest: float = math.inf  # that its caller waits, in seconds from its last byte on
-    is_wanted: Callable[[], bool] = lambda: (
-        True
-    )  # asked before the last byte of a long body: its caller may have left
+    idle_s: float = 0.0  # above 0: the answer is streamed from its head on, and may pause for this long
+    longest: float = math.inf  # the client's wait, in seconds from the last byte of the request
+    # Asked before the last byte of a long body is sent, as the client may have left.
+    is_wanted: Callable[[], bool] = lambda: True
 
     def write(self, remaining: float) -> bytes:
-        """The bytes for the wire. While its body is still coming an attempt has no bound: its caller's wait is told."""
+        """The bytes to send.
+
+        An attempt has no time-out while its body is still arriving; the header gives the client's wait instead.
+        """
         told = min(remaining, self.longest)
         return b"%b%b: %.3f\r\n\r\n%b" % (self.head, self.deadline_header, told, self.body)
 
@@ -45,17 +47,17 @@
 class Carrier(Reader, Protocol):
     """The connection that carries an attempt."""
 
-    unwritten: bool  # part of the request is still with us
+    unwritten: bool  # part of the request has not been sent
 
     def over_at(self, due: float) -> float:
-        """Until when its answer may go on whose request's time is up at `due`."""
+        """Until when an answer that has begun may go on if its request's time is up at `due`."""
 
     def drop(self) -> None:
         """Close at once."""
 
 
 class Attempt:
-    """One attempt; it ends exactly once, with the outcome that `done` is told."""
+    """One attempt. It ends exactly once, and `done` is called with its outcome."""
 
     def __init__(
         self, request: Outgoing, timeout: float, done: Done, host: Host, may_go: Callable[[], bool]
@@ -65,47 +67,47 @@
         self.connection: Carrier | None = None
         self.connecting: asyncio.Task[None] | None = None
         self._monotonic = host.monotonic
-        self._ends = host.monotonic() + timeout
+        self._deadline = host.monotonic() + timeout
         self._timer: asyncio.TimerHandle | None = None
-        if timeout < math.inf:  # else its request's body is still coming
+        if timeout < math.inf:  # infinite while the request's body is still arriving
             self._timer = loop.call_later(timeout, self._timed_out)
         self._done: Done | None = done
         self.begin: Begin = lambda answer, length, source: None
-        self.sink: Sink | None = None  # its answer is on its way
+        self.sink: Sink | None = None  # set once the answer is being streamed
 
     def limit(self, timeout: float) -> None:
-        """End it after so many seconds from now on."""
+        """Set the time-out to this many seconds from now."""
         if self._done is not None and self.sink is None:
             if self._timer is not None:
                 self._timer.cancel()
-            self._ends = self._monotonic() + timeout
+            self._deadline = self._monotonic() + timeout
             self._timer = asyncio.get_running_loop().call_later(timeout, self._timed_out)
 
     def start(self, answer: Answer, length: int | None, source: Source) -> bool:
-        """Its answer begins; whether anybody still wants it. The time-out runs no more."""
+        """Start to stream the answer and stop the time-out; false if nobody wants the answer any more."""
         if self._timer is not None:
             self._timer.cancel()
         self.sink = self.begin(answer, length, source)
         return self.sink is not None
 
     def over_at(self, due: float) -> float:
-        """Until when its answer, which has begun, may go on whose request's time is up at `due`."""
+        """Until when an answer that has begun may go on if its request's time is up at `due`."""
         return self.connection.over_at(due) if self.connection is not None else due
 
     def remaining(self) -> float:
-        """How long we still wait, in seconds."""
-        return max(self._ends - self._monotonic(), 0.0)
+        """Time left until the time-out, in seconds."""
+        return max(self._deadline - self._monotonic(), 0.0)
 
     def is_over(self) -> bool:
-        """Whether the outcome has been told."""
+        """Whether the outcome has been reported."""
         return self._done is None
 
     def is_written(self) -> bool:
-        """Whether the last byte has gone out, so that it may have run."""
+        """Whether the last byte of the request has been sent, so that the request may have run."""
         return self.connection is not None and not self.connection.unwritten
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
-        """Tell the outcome, once; a connection that still waits for the answer is of no further use."""
+        """Report the outcome, once; a connection that still waits for the answer is closed."""
         if self._done is None:
             return
         done, self._done = self._done, None
@@ -122,7 +124,7 @@
         done(outcome, answer)
 
     def cancel(self) -> None:
-        """Stop waiting for it."""
+        """Stop waiting for the answer."""
         self.end(Outcome.CANCELLED)
 
     def _timed_out(self) -> None:
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an upstream: writes requests, reads their answers, and tells how each attempt ended."""
+"""A connection to an upstream: sends requests, reads their answers and reports how each attempt ended."""
 
 from __future__ import annotations
 
@@ -14,174 +14,183 @@
 
 log = logging.getLogger(__name__)
 
-ANSWER_RATE = 40_000  # bytes a second: what an answer has to come at to go on past its request's time
-# Of an answer beyond what is kept the first bytes are timed, and it is not cut while it is still given. Whoever stands
-# still for as long as nobody may hold the rest of one back (the operators' page of daily service: 2 s) gives no more.
-PAUSE_S = 2.0
-STALL_S = 10.0  # a long body that makes no step for so long, while nobody holds it back, is given up
-SETTLE_S = 0.2  # an answer whose length is not told is passed on after this, whether or not it will be long
+# Minimum rate, in bytes a second, at which an answer has to arrive to go on past its request's time.
+MIN_ANSWER_BYTES_PER_S = 40_000
+# An answer beyond the buffer limit is timed by its first bytes only, and is not cut while it makes progress. One that
+# pauses for longer than anybody may hold back the rest of an answer (2 s, by the operators' page of daily service) is
+# taken to make none.
+LONG_ANSWER_PAUSE_S = 2.0
+# A long body that makes no progress for this long, while nobody holds it back, is given up.
+STALL_TIMEOUT_S = 10.0
+# An answer of unknown length is streamed after this, whether or not it will be long.
+UNKNOWN_LENGTH_DELAY_S = 0.2
 
 
 class Pool:
-    """The connections to one upstream's address."""
+    """The connections to the address of one upstream."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.name, self.address = name, address
-        self.idle: list[Connection] = []  # the most recently used last
-        self.open: dict[Connection, None] = {}  # in order: a set's would differ from run to run
+        self.idle: list[Connection] = []  # in order of use, the latest last
+        # In order of creation: the order of a set would vary between runs.
+        self.open: dict[Connection, None] = {}
 
 
 class Owner(Protocol):
-    """Whoever holds the pools, with what all their connections share."""
+    """The holder of the pools, with the state that all their connections share."""
 
     host: Host
-    max_body: int  # of an answer, in bytes
-    kept: int  # of an answer that is passed on whole
-    too_long: Answer | None  # in place of an answer beyond `max_body`
-    long: dict[Connection, None]  # those with a long body on its way
+    max_body: int  # upper bound for an answer's body, in bytes
+    max_buffered_body: int  # answers up to this size are buffered and passed on whole
+    too_long: Answer | None  # sent to the client in place of an answer beyond `max_body`
+    long: dict[Connection, None]  # connections that send_request a long body
 
     def outcome(self, answer: Answer) -> Outcome:
-        """What an answer means for its attempt."""
+        """Which outcome an answer means for its attempt."""
 
     def serves(self, answer: Answer) -> bool:
         """Whether an answer with this head serves its request."""
 
-    def rest(self, connection: Connection, pool: Pool) -> None:
+    def keep_idle(self, connection: Connection, pool: Pool) -> None:
         """Keep a connection for the next attempt."""
 
     def forget(self, connection: Connection, pool: Pool) -> None:
-        """A connection is over."""
+        """Remove a connection that has closed."""
 
 
 class Connection(asyncio.Protocol):
-    """One connection to an upstream; carries one attempt at a time."""
+    """A connection to an upstream; it carries one attempt at a time."""
 
     def __init__(self, pool: Pool, owner: Owner) -> None:
         self._pool, self._owner = pool, owner
-        self._last = False  # the last chunk of a long body is being written
+        self._last_chunk_buffered = False  # the last chunk of a long body is in the write buffer
         self._attempt: Attempt | None = None
         self._reader: AnswerReader | None = None
         self._transport: asyncio.Transport | None = None
-        self._told: Callable[[int], object] = lambda timeout: True  # until there is a transport
+        self._has_unread: Callable[[int], object] = lambda timeout: True  # set once there is a transport
         self.unwritten = True
         self.idle_since = 0.0
-        self._blocked = False  # the transport holds bytes that have not gone out
-        self.moved_at = 0.0  # when a long body last made a step
-        self.held = False  # by whoever reads the answer
-        self._passed = 0  # bytes of a long answer
-        self._held_for, self._held_at = 0.0, 0.0  # seconds that its reader held it, and since when it does
-        self._settle: asyncio.TimerHandle | None = None
-
-    def carry(self, attempt: Attempt) -> None:
+        self._write_blocked = False  # the transport has bytes that are not sent yet
+        self.progress_at = 0.0  # time of the last progress of a long body
+        self.paused = False  # paused by the reader of the answer
+        self._streamed_bytes = 0  # bytes of a long answer that were passed on
+        self._paused_s, self._paused_at = 0.0, 0.0  # seconds for which reading was paused; start of the pause
+        self._stream_timer: asyncio.TimerHandle | None = None
+
+    def send_request(self, attempt: Attempt) -> None:
         """Write the attempt's request."""
         assert self._transport is not None
-        self._attempt, self._passed, self._held_for = attempt, 0, 0.0
+        self._attempt, self._streamed_bytes, self._paused_s = attempt, 0, 0.0
         owner, request = self._owner, attempt.request
         streams = request.idle_s > 0
-        long = owner.kept if owner.max_body > owner.kept or streams else None
+        long = owner.max_buffered_body if owner.max_body > owner.max_buffered_body or streams else None
         self._reader = AnswerReader(owner.max_body, request.bodyless, long, owner.serves, streams)
         attempt.connection = self
         if request.upload is not None:
-            self._carry_long(request, attempt.remaining())
+            self._send_long(request, attempt.remaining())
             return
-        self._last = False
-        self.unwritten = False  # the transport says at once if it could not write it all: see pause_writing
+        self._last_chunk_buffered = False
+        self.unwritten = False  # pause_writing is called at once if the transport cannot send all of it
         self._transport.write(request.write(attempt.remaining()))
         if not self.unwritten and request.written is not None:
             request.written()
 
-    def _carry_long(self, request: Outgoing, remaining: float) -> None:
-        """Write the head, and the body as it comes and goes."""
+    def _send_long(self, request: Outgoing, remaining: float) -> None:
+        """Write the head, and the body as it arrives."""
         assert self._transport is not None and request.upload is not None
-        self._last, self.unwritten, self.moved_at = False, True, self._owner.host.monotonic()
+        self._last_chunk_buffered, self.unwritten, self.progress_at = (
+            False,
+            True,
+            self._owner.host.monotonic(),
+        )
         self._owner.long[self] = None
         self._transport.write(request.write(remaining))
         request.upload.attach(self)
 
     def ready(self) -> None:
-        """Write what of a long body there is, while the upstream takes it."""
+        """Write what has arrived of a long body, as far as the upstream takes it."""
         attempt = self._attempt
         if attempt is None or (upload := attempt.request.upload) is None or self._transport is None:
             return
-        while not self._blocked and self.unwritten and not self._transport.is_closing():
+        while not self._write_blocked and self.unwritten and not self._transport.is_closing():
             if upload.is_ending() and not attempt.request.is_wanted():
-                return  # so that it never runs
+                return  # an incomplete request never runs
             piece = upload.take()
             if piece is None:
                 break
-            self.moved_at = self._owner.host.monotonic()
+            self.progress_at = self._owner.host.monotonic()
             self._transport.write(
                 piece if upload.length is not None else b"%x\r\n%b\r\n" % (len(piece), piece)
             )
-        if upload.whole and upload.is_empty() and self.unwritten and not self._blocked:
+        if upload.whole and upload.is_empty() and self.unwritten and not self._write_blocked:
             if upload.length is None:
                 if not attempt.request.is_wanted():
                     return
                 self._transport.write(b"0\r\n\r\n")
-                if self._blocked:
-                    self._last = True
+                if self._write_blocked:
+                    self._last_chunk_buffered = True
                     return
-            self._is_written()
+            self._report_written()
 
-    def _is_written(self) -> None:
+    def _report_written(self) -> None:
         self.unwritten = False
         if self._attempt is not None and self._attempt.request.written is not None:
             self._attempt.request.written()
 
     def hold(self, on: bool) -> None:
-        """Whoever reads the answer is slower than the upstream, or no more."""
+        """Pause or resume reading, as the reader of the answer falls behind the upstream or has caught up."""
         now = self._owner.host.monotonic()
-        if self.held:
-            self._held_for += now - self._held_at
-        self.held, self._held_at = on, now
+        if self.paused:
+            self._paused_s += now - self._paused_at
+        self.paused, self._paused_at = on, now
         if self._transport is not None and not self._transport.is_closing():
-            self.moved_at = now
+            self.progress_at = now
             if on:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
 
     def over_at(self, due: float) -> float:
-        """Until when an answer that has begun may go on whose request's time is up at `due`, by the monotonic clock.
+        """Until when an answer that has begun may go on if its request's time is up at `due`, by the monotonic clock.
 
-        A long one for as long as it comes, whatever its pace. One that may still be short has time by the byte, and for
-        as long as its reader held it.
+        A long answer may go on for as long as it makes progress, at any pace. One that may still be short gets extra
+        time for each byte, and for as long as its reader paused it.
         """
         now = self._owner.host.monotonic()
-        if self._passed > self._owner.kept:
-            return (now if self.held else self.moved_at) + PAUSE_S
-        held = now - self._held_at if self.held else 0.0
-        return due + self._passed / ANSWER_RATE + self._held_for + held
+        if self._streamed_bytes > self._owner.max_buffered_body:
+            return (now if self.paused else self.progress_at) + LONG_ANSWER_PAUSE_S
+        paused = now - self._paused_at if self.paused else 0.0
+        return due + self._streamed_bytes / MIN_ANSWER_BYTES_PER_S + self._paused_s + paused
 
     def sweep(self, now: float) -> None:
-        """Give up a long body that has made no step for too long."""
+        """Give up a long body that has made no progress for too long."""
         attempt = self._attempt
-        if attempt is None or self.held:
+        if attempt is None or self.paused:
             return
-        upload, stood = attempt.request.upload, now - self.moved_at
+        upload, stood = attempt.request.upload, now - self.progress_at
         if attempt.sink is not None:
-            if stood >= (attempt.request.idle_s or STALL_S):
+            if stood >= (attempt.request.idle_s or STALL_TIMEOUT_S):
                 attempt.end(Outcome.BROKEN)
         elif (
             upload is not None
             and self.unwritten
-            and (self._blocked or not upload.is_empty())
-            and stood >= STALL_S
+            and (self._write_blocked or not upload.is_empty())
+            and stood >= STALL_TIMEOUT_S
         ):
             attempt.end(Outcome.UNREACHED)
 
-    def is_spent(self) -> bool:
-        """Whether it can carry no more: it is closing, or has been told something since the last answer.
+    def is_unusable(self) -> bool:
+        """Whether the connection cannot be reused: it is closing, or data has arrived since the last answer.
 
-        An end, or bytes behind the answer, may lie in the kernel unread: the loop has had no turn since. What
-        is written then is lost, or the stray bytes are taken for its answer.
+        An end of stream, or bytes after the answer, may lie unread in the kernel if the event loop has not run since. A
+        request written then would be lost, or the stray bytes would be taken for its answer.
         """
-        return self._transport is None or self._transport.is_closing() or bool(self._told(0))
+        return self._transport is None or self._transport.is_closing() or bool(self._has_unread(0))
 
     def drop(self) -> None:
-        """Close at once; an attempt on it has been told its end."""
+        """Close at once; the outcome of an attempt on it has been reported already."""
         self._attempt, self._reader = None, None
-        self._unsettle()
+        self._cancel_stream_timer()
         self._owner.forget(self, self._pool)
         if self._transport is not None:
             self._transport.abort()
@@ -189,25 +198,30 @@
     # ---- asyncio's callbacks
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """With a high-water mark of 0, pause_writing tells of every byte that has not gone out yet."""
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
+        """Set a high-water mark of 0, so that pause_writing reports every byte that has not been sent."""
+        # Uvloop's transports do not derive from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=0)
-        self._told = self._owner.host.watcher(transport)
+        self._has_unread = self._owner.host.watcher(transport)
 
     def pause_writing(self) -> None:
-        """Part of the request is still with us: the upstream can't have begun it."""
-        self._blocked = self.unwritten = True
+        """Part of the request has not been sent: the upstream cannot have started it."""
+        self._write_blocked = self.unwritten = True
 
     def resume_writing(self) -> None:
-        """What there was of the request has gone out."""
-        self._blocked, self.moved_at = False, self._owner.host.monotonic()
-        if self._attempt is not None and self._attempt.request.upload is not None and not self._last:
+        """The write buffer is empty: go on with a long body, or record that the request was sent."""
+        self._write_blocked, self.progress_at = False, self._owner.host.monotonic()
+        if (
+            self._attempt is not None
+            and self._attempt.request.upload is not None
+            and not self._last_chunk_buffered
+        ):
             self.ready()
         else:
-            self._is_written()
+            self._report_written()
 
     def data_received(self, data: bytes) -> None:
-        """A piece of the answer; without an attempt it is stray, and the connection can't be trusted."""
+        """Read a piece of the answer; bytes without an attempt are stray, and the connection is dropped."""
         attempt, reader = self._attempt, self._reader
         if attempt is None or reader is None:
             self.drop()
@@ -220,76 +234,78 @@
                 isinstance(error, TooLongError) and attempt.sink is None and self._owner.serves(reader.head())
             )
             if is_good and self._owner.too_long is not None:
-                attempt.end(Outcome.SERVED, self._owner.too_long)  # no other server's would be shorter
+                attempt.end(Outcome.SERVED, self._owner.too_long)  # no other server's answer would be shorter
             else:
                 attempt.end(Outcome.BROKEN)
             return
         if reader.started:
             self._pass_on(attempt, reader)
             if self._attempt is not attempt:
-                return  # nobody wants it, or it is cut
+                return  # the answer is not wanted, or was cut
         if answer is None:
-            if self._settle is None and not reader.started and reader.is_settling():
-                self._settle = asyncio.get_running_loop().call_later(SETTLE_S, self._settled)
+            if self._stream_timer is None and not reader.started and reader.is_settling():
+                self._stream_timer = asyncio.get_running_loop().call_later(
+                    UNKNOWN_LENGTH_DELAY_S, self._start_streaming
+                )
             return
-        self._unsettle()
+        self._cancel_stream_timer()
         reusable = answer.reusable and not self.unwritten
         if reusable:
             self._attempt, self._reader, attempt.connection = None, None, None
-            self._owner.rest(self, self._pool)
+            self._owner.keep_idle(self, self._pool)
         attempt.end(self._owner.outcome(answer), answer)
 
     def _pass_on(self, attempt: Attempt, reader: AnswerReader) -> None:
-        """Hand on what has come of an answer that has started."""
-        self.moved_at = self._owner.host.monotonic()
+        """Pass on what has arrived of an answer that is streamed."""
+        self.progress_at = self._owner.host.monotonic()
         if attempt.sink is None:
-            self._unsettle()
+            self._cancel_stream_timer()
             self._owner.long[self] = None
             if not attempt.start(reader.head(), reader.length, self):
                 attempt.end(Outcome.CANCELLED)
                 return
         if attempt.sink is not None and (data := reader.take()):
-            self._passed += len(data)
+            self._streamed_bytes += len(data)
             attempt.sink.write(data)
 
-    def _settled(self) -> None:
-        """An answer whose length is not told takes its time: what there is goes on at once."""
-        self._settle = None
+    def _start_streaming(self) -> None:
+        """Start to stream an answer of unknown length that was not complete within UNKNOWN_LENGTH_DELAY_S."""
+        self._stream_timer = None
         attempt, reader = self._attempt, self._reader
         if attempt is not None and reader is not None:
             reader.start()
             if reader.started:
                 self._pass_on(attempt, reader)
 
-    def _unsettle(self) -> None:
-        if self._settle is not None:
-            self._settle.cancel()
-            self._settle = None
+    def _cancel_stream_timer(self) -> None:
+        if self._stream_timer is not None:
+            self._stream_timer.cancel()
+            self._stream_timer = None
 
     def eof_received(self) -> None:
-        """The upstream has closed: an idle connection must not be used again, and an answer is over.
+        """Handle the upstream's close: an idle connection must not be reused, and an answer ends here.
 
-        A close-delimited one is whole by that (RFC 9112, 6.3, rule 8), any other is cut short. A reset is no end: where
-        reading was paused libuv tells of it as of a close, so that the socket is asked.
+        A close-delimited answer is complete by that (RFC 9112, 6.3, rule 8); any other is cut short. A reset completes
+        nothing. libuv reports a reset as a close where reading was paused, so the socket itself is asked.
         """
         attempt, reader = self._attempt, self._reader
         answer = None
         if reader is not None and not self.unwritten and not self._was_reset():
             answer = reader.ended()
         if attempt is not None and answer is not None:
-            self._unsettle()
+            self._cancel_stream_timer()
             attempt.end(self._owner.outcome(answer), answer)
         else:
-            self._ended()
+            self._handle_close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """As eof_received."""
-        self._ended()
+        """Handle a close as eof_received does."""
+        self._handle_close()
 
     def _was_reset(self) -> bool:
         return self._transport is not None and self._owner.host.was_reset(self._transport)
 
-    def _ended(self) -> None:
+    def _handle_close(self) -> None:
         if self._attempt is not None:
             self._attempt.end(Outcome.UNREACHED if self.unwritten else Outcome.BROKEN)
         else:
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -1,4 +1,4 @@
-"""The pools of connections to all upstreams: which one an attempt goes out on, and when one gives way."""
+"""The connection pools of all upstreams: choose, open, reuse and close connections for attempts."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_SHARE = 0.5  # of the upstream's idle time after which we close: a request must not cross its close
-SWEEP_S = 1.0
-REST_S = 0.005  # an upstream that closes behind an answer, or sends more than it, does so within this
+# Share of the upstream's idle timeout after which we close: a request must not cross its close.
+IDLE_TIMEOUT_SHARE = 0.5
+SWEEP_INTERVAL_S = 1.0
+# An upstream that closes after an answer, or sends more than the answer, does so within this.
+REUSE_DELAY_S = 0.005
 
 
 def platform_outcome(answer: Answer) -> Outcome:
-    """What an answer means, by the protocol's table."""
+    """The outcome that an answer means, by the platform's protocol."""
     if answer.status == 200:
         return Outcome.SERVED
     if answer.status in (503, 504):
@@ -31,7 +33,7 @@
 
 
 class Upstreams:
-    """All upstreams by name, and the connections to them, of which there are `max_open` at most."""
+    """All upstreams by name, and the connections to them, at most `max_open`."""
 
     def __init__(
         self,
@@ -41,21 +43,27 @@
         host: Host = HOST,
         outcome: Callable[[Answer], Outcome] = platform_outcome,
         max_body: int = MAX_LONG,
-        kept: int = LONG,
+        max_buffered_body: int = LONG,
         too_long: Answer | None = None,
     ) -> None:
-        """Answers of up to `kept` bytes are passed on whole, those beyond as they come, up to `max_body`.
+        """Answers of up to `max_buffered_body` bytes are passed on whole; longer ones are streamed, up to `max_body`.
 
-        `too_long`: what callers get for one beyond that; without it the attempt is broken, and another may be made."""
-        self.host, self.outcome, self.max_body, self.kept = host, outcome, max_body, kept
+        `too_long` is what clients get for one beyond that. Without it the attempt is broken, and another may be made.
+        """
+        self.host, self.outcome, self.max_body, self.max_buffered_body = (
+            host,
+            outcome,
+            max_body,
+            max_buffered_body,
+        )
         self.too_long = too_long
         self._connect_timeout = connect_timeout
-        self._idle_limit = idle_timeout * IDLE_SHARE
+        self._idle_timeout = idle_timeout * IDLE_TIMEOUT_SHARE
         self._max_open = max_open
         self._pools: dict[str, Pool] = {}
-        self.long: dict[Connection, None] = {}  # those with a long body on its way
-        self._open = 0
-        self._said_full = False
+        self.long: dict[Connection, None] = {}  # connections that carry a long body
+        self._open_count = 0
+        self._logged_full = False
         self._sweeper: asyncio.TimerHandle | None = None
 
     def serves(self, answer: Answer) -> bool:
@@ -63,25 +71,25 @@
         return self.outcome(answer) is Outcome.SERVED
 
     def start(self) -> None:
-        """Begin to close idle connections in time."""
+        """Start the periodic closing of idle connections."""
         self._sweep()
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close all idle connections and forget all upstreams."""
         if self._sweeper is not None:
             self._sweeper.cancel()
         self.route({})
 
     def route(self, addresses: dict[str, Address]) -> None:
-        """Take over a list; upstreams that left it or moved lose their idle connections."""
+        """Replace all addresses; upstreams that left or moved lose their idle connections."""
         self.reroute([*self._pools, *(n for n in addresses if n not in self._pools)], addresses)
 
     def reroute(self, names: Iterable[str], addresses: dict[str, Address]) -> None:
-        """Take over the changes of some; those that have no address any more have left."""
+        """Apply changes for these upstreams; one without an address has left."""
         for name in names:
             pool, address = self._pools.get(name), addresses.get(name)
             if pool is not None and address != pool.address:
-                del self._pools[name]  # attempts that are out go on
+                del self._pools[name]  # attempts in progress go on
                 for connection in list(pool.idle):
                     connection.drop()
             if address is not None and name not in self._pools:
@@ -94,9 +102,9 @@
                 connection.drop()
 
     def limit(self, max_open: int) -> None:
-        """Hold so many connections at most from now on; those idle for longest go first."""
+        """Change the limit of open connections; the connections idle for longest are closed first."""
         self._max_open = max_open
-        while self._open > max_open and self._has_room():
+        while self._open_count > max_open and self._make_room():
             pass
 
     def send(
@@ -107,61 +115,62 @@
         done: Done,
         may_go: Callable[[], bool] = lambda: True,
     ) -> Attempt:
-        """Make one attempt; `done` is told its outcome once, later or at once.
+        """Make one attempt; `done` is called once with its outcome, later or before this returns.
 
-        `may_go` says whether it may still go out, now and once there is a connection; else it ends as not sent.
+        `may_go` says whether the attempt may still be sent. It is asked now, and again once there is a connection;
+        if it is false, the attempt ends as not sent.
         """
         attempt = Attempt(request, timeout, done, self.host, may_go)
         pool = self._pools.get(server)
         if pool is None or not may_go():
             attempt.end(Outcome.NOT_SENT)
             return attempt
-        if (connection := self._idle(pool)) is not None:
-            self._carry(connection, attempt)
-        elif self._has_room():
+        if (connection := self._take_idle(pool)) is not None:
+            self._send_on(connection, attempt)
+        elif self._make_room():
             connection = Connection(pool, self)
             pool.open[connection] = None
-            self._open += 1
+            self._open_count += 1
             attempt.connecting = asyncio.get_running_loop().create_task(
                 self._connect(connection, pool, attempt)
             )
         else:
-            if not self._said_full:  # one line a second at most: a shortage must not flood the log
-                self._said_full = True
+            if not self._logged_full:  # at most one line a second, so that a shortage does not flood the log
+                self._logged_full = True
                 log.warning("no descriptor left for a connection to %s", server)
             attempt.end(Outcome.UNREACHED)
         return attempt
 
-    def _idle(self, pool: Pool) -> Connection | None:
-        """The idle connection to use: the latest that has rested.
+    def _take_idle(self, pool: Pool) -> Connection | None:
+        """The idle connection to reuse: the last used of those idle for at least REUSE_DELAY_S.
 
-        Never one that has not: a second answer may be on its way there, and be taken for the next request's.
+        A younger one is never reused: a second answer may be on its way, and would be taken for the next request's.
         """
-        limit = self.host.monotonic() - REST_S
+        limit = self.host.monotonic() - REUSE_DELAY_S
         for connection in [c for c in reversed(pool.idle) if c.idle_since <= limit]:
-            if not connection.is_spent():
+            if not connection.is_unusable():
                 pool.idle.remove(connection)
                 return connection
             connection.drop()
         return None
 
-    def rest(self, connection: Connection, pool: Pool) -> None:
+    def keep_idle(self, connection: Connection, pool: Pool) -> None:
         """Keep a connection for the next attempt, unless its upstream has left or moved."""
         if self._pools.get(pool.name) is not pool:
             connection.drop()
             return
         connection.idle_since = self.host.monotonic()
-        if connection.held:
+        if connection.paused:
             connection.hold(False)
         self.long.pop(connection, None)
         pool.idle.append(connection)
 
     def forget(self, connection: Connection, pool: Pool) -> None:
-        """A connection is over."""
+        """Remove a connection that has closed."""
         self.long.pop(connection, None)
         if connection in pool.open:
             del pool.open[connection]
-            self._open -= 1
+            self._open_count -= 1
             if connection in pool.idle:
                 pool.idle.remove(connection)
 
@@ -173,30 +182,30 @@
             connection.drop()
         except Exception as error:
             if not isinstance(error, OSError | TimeoutError):
-                log.exception("connecting to %s", pool.name)
+                log.exception("could not connect to upstream %s", pool.name)
             connection.drop()
             attempt.connecting = None
             attempt.end(Outcome.UNREACHED)
         else:
             attempt.connecting = None
-            is_there = self._pools.get(pool.name) is pool  # else it has left or moved
+            is_there = self._pools.get(pool.name) is pool  # false if the upstream has left or moved
             if not attempt.is_over() and is_there and attempt.may_go():
-                self._carry(connection, attempt)
+                self._send_on(connection, attempt)
                 return
             connection.drop()
             attempt.end(Outcome.NOT_SENT)
 
-    def _carry(self, connection: Connection, attempt: Attempt) -> None:
+    def _send_on(self, connection: Connection, attempt: Attempt) -> None:
         try:
-            connection.carry(attempt)
-        except Exception:  # the attempt still owes its outcome, and some of it may have gone out
+            connection.send_request(attempt)
+        except Exception:  # the attempt must report an outcome, and part of the request may have been sent
             log.exception("could not write a request")
             attempt.end(Outcome.BROKEN)
             connection.drop()
 
-    def _has_room(self) -> bool:
-        """Whether another connection may be opened; the one idle for longest gives way."""
-        if self._open < self._max_open:
+    def _make_room(self) -> bool:
+        """Whether another connection may be opened; closes the one idle for longest if that is needed."""
+        if self._open_count < self._max_open:
             return True
         oldest = min(
             (pool.idle[0] for pool in self._pools.values() if pool.idle),
@@ -208,12 +217,12 @@
         return oldest is not None
 
     def _sweep(self) -> None:
-        self._sweeper = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep)
-        self._said_full = False
+        self._sweeper = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep)
+        self._logged_full = False
         now = self.host.monotonic()
         for connection in list(self.long):
             connection.sweep(now)
-        limit = now - self._idle_limit
+        limit = now - self._idle_timeout
         for pool in self._pools.values():
             while pool.idle and pool.idle[0].idle_since < limit:
                 pool.idle[0].drop()
--- a/passpost/workers/plan.py
+++ b/passpost/workers/plan.py
@@ -1,13 +1,13 @@
-"""What becomes of each worker and when: starts, restarts with back-off, renewals in turn, the end. No I/O.
+"""The state machine of the worker processes: starts, restarts with back-off, rolling renewal and shutdown. No I/O.
 
-A worker is off, starting, ready or draining. The plan is told what happened and answers with what to do; `next_at`
-says when it wants to be asked again. Times are seconds on a clock that never goes back.
+A worker is off, starting, ready or draining. The plan is told of events and answers with actions; `next_at` gives the
+time at which `due` has to be called again. Times are in seconds on a monotonic clock.
 
-Its rules. A worker that ends unasked is started again, after a pause that doubles while it keeps ending soon. Before
-the first worker is ready, one that ends with a status of its own (a file or port that can't be used) ends all with
-that status. A renewal drains one worker at a time and goes on when its successor is ready, so that a file that
-starts no worker takes down one of them only. At the end workers drain one after the other as far as the time
-allows; whoever is left when it is over is killed.
+A worker that ends unasked is restarted after a delay that doubles while it keeps ending soon. If a worker exits with
+an error before any worker has been ready (its file or port cannot be used), all end with that status. A renewal drains
+one worker at a time and goes on when its replacement is ready, so a file with which no worker starts takes down one of
+them only. At shutdown the workers drain one after the other as far as the time allows, and those left at its end are
+killed.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-FIRST_PAUSE_S, MOST_PAUSE_S = 0.1, 10.0  # before a worker that ended unasked is started again
-CALM_S = 30.0  # a worker that ran so long has not failed "again"
+# Delay before a worker that ended unasked is restarted: the first, and the upper bound.
+FIRST_PAUSE_S, MOST_PAUSE_S = 0.1, 10.0
+CALM_S = 30.0  # a worker that was ready for this long starts again with the first delay
 TOLD_GAP_S = 0.2  # between two workers that are told to read their file again
-SPARE_S = 0.3  # of the time until the kill, for ending ourselves
+SPARE_S = 0.3  # kept of the time until the kill for the supervisor's own exit
 
 
 class State(Enum):
-    """What a worker does."""
+    """The state of a worker."""
 
     OFF = "off"
     STARTING = "starting"
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tell:
-    """Send a worker a signal."""
+    """Send a signal to a worker."""
 
     slot: int
     signal: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class End:
-    """All workers are off: end with this status."""
+    """Exit with this status, as all workers are off."""
 
     status: int
 
@@ -60,19 +61,19 @@
 class _Slot:
     def __init__(self) -> None:
         self.state, self.since = State.OFF, 0.0
-        self.failures, self.start_at = 0, 0.0  # start_at: 0 while none is due
+        self.failures, self.start_at = 0, 0.0  # start_at is 0 while no start is due
         self.has_served = False
 
 
 class Plan:
-    """The workers' states, by slot."""
+    """The state of all workers, by slot."""
 
     def __init__(self, count: int, kill_after_s: float, drain_s: float) -> None:
-        """`drain_s`: how long one worker may take to drain; `kill_after_s`: until the supervisor is killed."""
+        """`drain_s` bounds the drain of one worker; the supervisor itself is killed `kill_after_s` after its SIGTERM."""
         self._slots = [_Slot() for _ in range(count)]
         self._within, self._drain = kill_after_s, drain_s
-        self._renewals: deque[int] = deque()  # slots that are to be replaced, the first of them in hand
-        self._told: deque[int] = deque()  # slots that are to read their file again
+        self._renewals: deque[int] = deque()  # slots to be renewed; the first is in progress
+        self._told: deque[int] = deque()  # slots that have to read their file again
         self._next_tell = 0.0
         self._was_up = False
         self._stop_at: float | None = None
@@ -81,22 +82,22 @@
         self._killed, self._over = False, False
 
     def states(self) -> list[State]:
-        """Each worker's state."""
+        """The state of each worker."""
         return [s.state for s in self._slots]
 
     def allow(self, kill_after_s: float, drain_s: float) -> None:
-        """Other times for the end, from a file read again; an end that has begun keeps those it began with."""
+        """Set other times for the shutdown, from a file read again; one in progress keeps its own."""
         if self._stop_at is None:
             self._within, self._drain = kill_after_s, drain_s
 
-    # ---- what happens
+    # ---- events
 
     def begin(self, now: float) -> list[Action]:
-        """Start all."""
+        """Start all workers."""
         return [self._start(i, now) for i in range(len(self._slots))]
 
     def ready(self, slot: int, now: float) -> list[Action]:
-        """A worker serves."""
+        """A worker has reported that it serves."""
         worker = self._slots[slot]
         if worker.state is State.STARTING:
             worker.state, worker.since, self._was_up = State.READY, now, True
@@ -112,7 +113,7 @@
         lived = now - worker.since if worker.state is State.READY else 0.0
         worker.state = State.OFF
         if self._stop_at is not None:
-            # In its start it has no handler yet: our own signal ends it, and it has taken nothing.
+            # A worker that is starting has no signal handler yet: SIGTERM ends it, and it has accepted nothing.
             ended_in_start = status == -signal.SIGTERM and not worker.has_served
             if status and not ended_in_start and not self._status:
                 self._status = 1
@@ -128,19 +129,19 @@
         return self.due(now)
 
     def reread(self, now: float) -> list[Action]:
-        """The file has changed in what workers can take over as they run."""
+        """The file has changed in settings that running workers can apply."""
         self._told = deque(range(len(self._slots)))
         return self.due(now)
 
     def renew(self, now: float) -> list[Action]:
-        """The file has changed in what only new workers take over."""
+        """The file has changed in settings that need new workers."""
         in_hand = list(self._renewals)[:1]
         self._told.clear()
         self._renewals = deque(in_hand + [i for i in range(len(self._slots))])
         return self.due(now)
 
     def stop(self, now: float) -> list[Action]:
-        """End: drain all, one after the other as far as the time allows."""
+        """Shut down: drain all workers, one after the other as far as the time allows."""
         if self._stop_at is None:
             self._stop_at = self._next_drain = now
             self._renewals.clear()
@@ -148,7 +149,7 @@
         return self.due(now)
 
     def due(self, now: float) -> list[Action]:
-        """Whatever is to be done by now."""
+        """The actions that are due by now."""
         if self._over:
             return []
         if self._stop_at is not None:
@@ -160,7 +161,7 @@
         if self._told and now >= self._next_tell:
             slot = self._told.popleft()
             self._next_tell = now + TOLD_GAP_S
-            if self._slots[slot].state is State.READY:  # one that starts reads it anyway
+            if self._slots[slot].state is State.READY:  # a worker that is starting reads the new file anyway
                 found.append(Tell(slot, signal.SIGHUP))
         if self._renewals:
             slot = self._renewals[0]
@@ -170,7 +171,7 @@
         return found
 
     def next_at(self) -> float | None:
-        """When `due` wants to be asked again, whatever happens; None: not before something does."""
+        """When `due` has to be called again at the latest; None if only an event can make an action due."""
         if self._over or self._killed:
             return None
         if self._stop_at is not None:
@@ -182,10 +183,10 @@
         return min(starts + ([self._next_tell] if self._told else []), default=None)
 
     def starts_none(self) -> bool:
-        """Whether all workers end or have ended, and none will be started."""
+        """Whether all workers end or have ended, and none will be started again."""
         return self._stop_at is not None and all(s.state in (State.DRAINING, State.OFF) for s in self._slots)
 
-    # ---- what is done
+    # ---- actions
 
     def _start(self, slot: int, now: float) -> Action:
         worker = self._slots[slot]
@@ -216,7 +217,7 @@
         draining = any(s.state is State.DRAINING for s in self._slots)
         if waiting and (now >= self._next_drain or not draining):
             found.append(self._drain_one(waiting[0], now))
-            # The last one must begin early enough to be through.
+            # The last worker must start to drain early enough to finish.
             spare = self._stop_at + self._within - SPARE_S - self._drain - now
             self._next_drain = now + max(spare, 0.0) / max(len(waiting) - 1, 1)
             if spare <= 0:
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -1,8 +1,8 @@
-"""The parent of the workers: it listens for them, starts them, and carries out the plan (plan.py).
+"""The supervisor process: listens, starts the workers and carries out the plan (plan.py).
 
-The listening sockets are the parent's and each worker accepts from them: a worker that drains, ends or dies leaves
-the queue to the others. A worker is `passpost run` on the same file with its part of the limits; its standard input
-is a pipe from the parent, and its end tells it that the parent is gone.
+The listening sockets belong to the supervisor and every worker accepts from them, so a worker that drains, ends or
+crashes leaves the accept queue to the others. A worker is `passpost run` on the same file with its share of the
+limits. Its standard input is a pipe from the supervisor; an end of file on it says that the supervisor has gone.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
 
 def divided(file: File, count: int) -> File:
-    """A worker's part of a file: it counts as a balancer, and has its share of the limits.
+    """A worker's share of a file: each worker counts as a balancer and gets an equal part of the limits.
 
-    Raises ValueError where a limit is too small to be divided.
+    Raises ValueError if a limit is too small to be divided.
     """
     callers, upstreams = connections(file)
     limits, share = file.limits, max(len(file.applications), 1)
@@ -54,35 +54,35 @@
 
 
 def times(file: File) -> tuple[float, float]:
-    """The time until the kill, and how long one worker may take to drain, in seconds."""
+    """The time until the kill, and the upper bound for the drain of one worker, in seconds."""
     longest = max(c.deadline_ms for a in file.applications for c in a.classes) / 1000
     return file.drain.kill_after_s, file.drain.serve_s + longest + END_S
 
 
 class PassedHost(Host):
-    """A host whose listening sockets have been passed by the parent."""
+    """A host whose listening sockets were passed by the supervisor."""
 
-    accept_at_once = 1  # the other workers want some too: who takes many is slow for all of them
+    accept_at_once = 1  # a worker that accepts many at once is slow for all of them, while the other workers have none
 
     def __init__(self, descriptors: Mapping[str, int]) -> None:
         self._descriptors = descriptors
 
     def listen(self, address: Address, backlog: int) -> Listener:
-        """The parent's socket for this address; OSError if it passed none."""
+        """The supervisor's socket for this address; raises OSError if none was passed."""
         name = written(address)
         if name not in self._descriptors:
             raise OSError(f"no listening socket for {name} was passed")
         return socket.socket(fileno=os.dup(self._descriptors[name]))
 
     def release(self) -> None:
-        """Close what was passed, as nothing more is listened on: a listener ends with the last of its descriptors."""
+        """Close the passed descriptors once nothing else will listen: a listener lives as long as any of them."""
         for descriptor in self._descriptors.values():
             os.close(descriptor)
         self._descriptors = {}
 
 
 class Worker:
-    """What a worker process finds in its environment."""
+    """The parameters that a worker process gets by its environment."""
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self.count = int(environment[COUNT])
@@ -90,12 +90,12 @@
         self._ready = int(environment[READY])
 
     def is_ready(self) -> None:
-        """Tell the parent that we serve."""
+        """Report to the supervisor that this worker serves."""
         os.write(self._ready, b"1")
         os.close(self._ready)
 
     def follow_parent(self, end: asyncio.Event) -> None:
-        """End when the parent is gone."""
+        """Set `end` when the supervisor has gone."""
         loop = asyncio.get_running_loop()
 
         def look() -> None:
@@ -107,7 +107,7 @@
 
 
 class Supervisor:
-    """Runs the plan with processes."""
+    """Runs the plan with real processes."""
 
     def __init__(self, path: str, count: int) -> None:
         """Raises UnreadableError, UnusableError, ValueError or OSError, as a start without workers does."""
@@ -124,12 +124,12 @@
         self._status: asyncio.Future[int] | None = None
 
     def _listen(self, file: File) -> None:
-        """Open what the file wants and is not open; OSError, and nothing is changed, if one can't be had."""
+        """Open the listeners of the file that are not open yet; on OSError none is added."""
         opened: dict[str, Listener] = {}
         try:
             for application in file.applications:
                 address = split(application.listen)
-                assert address is not None  # checked
+                assert address is not None  # the file has been checked
                 name = written(address)
                 if name not in self._sockets:
                     opened[name] = HOST.listen(address, BACKLOG)
@@ -140,7 +140,7 @@
         self._sockets |= opened
 
     async def run(self) -> int:
-        """Until all has ended; the exit status."""
+        """Run until all workers have ended; returns the exit status."""
         loop = asyncio.get_running_loop()
         self._status = loop.create_future()
         signals = Signals(loop, self.reload, lambda: self._do(self._plan.stop(loop.time())))
@@ -150,7 +150,7 @@
         return status
 
     def reload(self) -> None:
-        """Read the file again: workers take it over as they run, or are renewed in turn; or nothing changes."""
+        """Read the file again: workers apply the changes or are renewed in turn; a bad file changes nothing."""
         try:
             file = read(self._path)
             divided(file, self._count)
@@ -172,12 +172,12 @@
             self._do(self._plan.renew(now) if renews else self._plan.reread(now))
 
     def _close_listeners(self) -> None:
-        """Leave the listeners to the workers: what comes up here once the last has ended, nobody would accept."""
+        """Close the listeners, as nobody would accept what arrives here after the last worker has ended."""
         for one in self._sockets.values():
             one.close()
         self._sockets.clear()
 
-    # ---- the plan's actions
+    # ---- actions of the plan
 
     def _do(self, actions: list[Action]) -> None:
         loop = asyncio.get_running_loop()
@@ -203,7 +203,7 @@
             self._timer = loop.call_at(at, lambda: self._do(self._plan.due(loop.time())))
 
     async def _carry(self, slot: int) -> None:
-        """A worker from its start to its end."""
+        """Start a worker, wait for its end and report it to the plan."""
         loop = asyncio.get_running_loop()
         try:
             status = await self._run_one(slot)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -223,7 +223,7 @@
 
 def test_nobody_gets_the_second_answer_to_the_request_before(monkeypatch: pytest.MonkeyPatch) -> None:
     # It comes some milliseconds late, when the connection may carry the next request already.
-    monkeypatch.setattr(upstream_pool, "REST_S", 3_600.0)
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)
     seen: list[Writer] = []
 
     async def twice(request: Got, writer: Writer) -> None:
@@ -310,7 +310,7 @@
     begun: bytes, drips: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Only a stall of 10 s ended it, and with a byte now and then nothing did.
-    monkeypatch.setattr(upstream_connection, "STALL_S", 3_600.0)
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 3_600.0)
 
     async def never_ends(request: Got, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n" + begun)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -335,7 +335,7 @@
 
 @pytest.mark.parametrize("after", ["head", "answer"])
 def test_a_caller_that_goes_ends_the_attempt(monkeypatch: pytest.MonkeyPatch, after: str) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_S", 1e9)  # nobody else ends it
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 1e9)  # nobody else ends it
     ended = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -162,7 +162,7 @@
     monkeypatch: pytest.MonkeyPatch, rested: bool
 ) -> None:
     # An upstream may close right behind its answer, or answer again: with no rest the next request would cross that.
-    monkeypatch.setattr(upstream_pool, "REST_S", 0.0 if rested else 60.0)
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0 if rested else 60.0)
 
     async def test() -> None:
         order: list[Writer] = []
@@ -198,7 +198,7 @@
                 server.writers[0].close()
             else:
                 server.writers[0].write(after)
-            await until(lambda: c.upstreams._open == 0)
+            await until(lambda: c.upstreams._open_count == 0)
             assert await c.outcome() is Outcome.SERVED
             assert server.connections == 2
 
@@ -209,7 +209,7 @@
     async def test() -> None:
         async with calls(FakeServer(OK + OK)) as c:
             assert await c.outcome() is Outcome.SERVED
-            assert c.upstreams._open == 0
+            assert c.upstreams._open_count == 0
 
     run(test())
 
@@ -219,7 +219,7 @@
     after: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # The loop has no turn between the second answer's coming and the next attempt: only the kernel knows.
-    monkeypatch.setattr(upstream_pool, "REST_S", 0.0)
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -232,20 +232,22 @@
                 with peer:
                     await loop.sock_recv(peer, 65536)
                     peer.send(OK)
-                    await until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open == 1)
+                    await until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open_count == 1)
                     if after is None:
                         peer.shutdown(socket.SHUT_WR)
                     else:
                         peer.send(after)
                     attempt = c.send()
-                    assert attempt.connection is None and c.upstreams._open == 1  # a new one is on its way
+                    assert (
+                        attempt.connection is None and c.upstreams._open_count == 1
+                    )  # a new one is on its way
                     attempt.cancel()
 
     run(test())
 
 
 def test_connections_idle_for_long_are_closed_by_us(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_pool, "SWEEP_S", 0.01)
+    monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = FakeServer()
@@ -278,7 +280,7 @@
             await until(held.is_written)
             await until(lambda: first.closed == 1)
             assert await c.outcome("s0") is Outcome.UNREACHED  # nothing idle is left to close
-            assert c.upstreams._open == 1
+            assert c.upstreams._open_count == 1
 
     run(test())
 
@@ -289,9 +291,9 @@
 
     async def test() -> None:
         async with calls(FakeServer()) as c:
-            monkeypatch.setattr(Connection, "carry", fail)
+            monkeypatch.setattr(Connection, "send_request", fail)
             assert await c.outcome() is Outcome.BROKEN
-            assert c.upstreams._open == 0
+            assert c.upstreams._open_count == 0
 
     run(test())
 
