--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -68,12 +68,12 @@
 
     signals = Signals(loop, reload, stop.set)
     if "PASSPOST_WORKERS" in os.environ:
-        from passpost.workers.supervisor import Worker, divided
+        from passpost.workers.supervisor import Worker, worker_share
 
         worker = Worker(os.environ)
         worker.follow_parent(stop)
-        running.append(sidecar.start(path, worker.host, lambda file: divided(file, worker.count)))
-        worker.is_ready()
+        running.append(sidecar.start(path, worker.host, lambda file: worker_share(file, worker.count)))
+        worker.report_ready()
         before_stop.callback(worker.host.release)
     else:
         running.append(sidecar.start(path))
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from passpost.workers.plan import End, Plan, Tell
+from passpost.workers.plan import Exit, Plan, SendSignal
 from tests.cli.test_operator import free_port, running
 from tests.loopback import PATIENCE, config_data, member
 from tests.workers.test_run import TEXT
@@ -93,16 +93,16 @@
 def test_a_worker_that_is_ended_in_its_start_is_no_failure() -> None:
     # The parent ended with 1 where SIGTERM met it within its workers' start, 0.4 to 0.7 s after its own.
     plan = Plan(2, 10.0, 1.0)
-    plan.begin(0.0)
-    plan.ready(0, 0.4)
-    assert Tell(1, signal.SIGTERM) in plan.stop(0.5)
-    assert plan.ended(1, -signal.SIGTERM, 0.6) == []
-    assert plan.ended(0, 0, 0.7) == [End(0)]
+    plan.start_all(0.0)
+    plan.worker_ready(0, 0.4)
+    assert SendSignal(1, signal.SIGTERM) in plan.stop(0.5)
+    assert plan.worker_ended(1, -signal.SIGTERM, 0.6) == []
+    assert plan.worker_ended(0, 0, 0.7) == [Exit(0)]
 
 
 def test_a_worker_that_served_and_died_by_a_signal_is_a_failure() -> None:
     plan = Plan(1, 10.0, 1.0)
-    plan.begin(0.0)
-    plan.ready(0, 0.4)
+    plan.start_all(0.0)
+    plan.worker_ready(0, 0.4)
     plan.stop(0.5)
-    assert plan.ended(0, -signal.SIGTERM, 0.6) == [End(1)]
+    assert plan.worker_ended(0, -signal.SIGTERM, 0.6) == [Exit(1)]
--- a/tests/workers/test_plan.py
+++ b/tests/workers/test_plan.py
@@ -10,7 +10,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from passpost.workers.plan import CALM_S, FIRST_PAUSE_S, MOST_PAUSE_S, Action, End, Plan, Start, State, Tell
+from passpost.workers.plan import (
+    MAX_RESTART_DELAY_S,
+    MIN_RESTART_DELAY_S,
+    RESTART_RESET_S,
+    Action,
+    Exit,
+    Plan,
+    SendSignal,
+    Start,
+    State,
+)
 
 WITHIN, DRAIN = 30.0, 6.0
 
@@ -21,12 +31,12 @@
     def __init__(self, count: int = 3, up: bool = True) -> None:
         self.plan, self.now = Plan(count, WITHIN, DRAIN), 0.0
         self.alive: set[int] = set()
-        self.told: list[Tell] = []
+        self.told: list[SendSignal] = []
         self.status: int | None = None
-        self.done(self.plan.begin(0.0))
+        self.done(self.plan.start_all(0.0))
         if up:
             for slot in range(count):
-                self.done(self.plan.ready(slot, self.now))
+                self.done(self.plan.worker_ready(slot, self.now))
 
     def done(self, actions: Iterable[Action]) -> list[Action]:
         found = list(actions)
@@ -35,27 +45,27 @@
                 case Start(slot):
                     assert slot not in self.alive, "a second process in one slot"
                     self.alive.add(slot)
-                case Tell(slot, _):
+                case SendSignal(slot, _):
                     assert slot in self.alive, "a signal to nobody"
                     self.told.append(action)
-                case End(status):
+                case Exit(status):
                     assert not self.alive and self.status is None
                     self.status = status
         return found
 
     def ends(self, slot: int, status: int) -> list[Action]:
         self.alive.discard(slot)
-        return self.done(self.plan.ended(slot, status, self.now))
+        return self.done(self.plan.worker_ended(slot, status, self.now))
 
     def ready(self, slot: int) -> list[Action]:
-        return self.done(self.plan.ready(slot, self.now))
+        return self.done(self.plan.worker_ready(slot, self.now))
 
     def sleep(self, seconds: float) -> list[Action]:
         """Time passes, and the plan is asked at each moment that it named."""
         end, found = self.now + seconds, list[Action]()
         while (at := self.plan.next_at()) is not None and at <= end:
             self.now = max(at, self.now)
-            if not (new := self.done(self.plan.due(self.now))):
+            if not (new := self.done(self.plan.due_actions(self.now))):
                 break
             found += new
         self.now = end
@@ -64,36 +74,39 @@
 
 def test_one_that_dies_is_started_again_after_a_pause_that_doubles() -> None:
     rig = Rig()
-    pause = FIRST_PAUSE_S
+    pause = MIN_RESTART_DELAY_S
     for _ in range(9):
         assert rig.ends(1, -signal.SIGKILL) == []
-        assert rig.sleep(min(pause, MOST_PAUSE_S) * 0.99) == []
-        assert rig.sleep(min(pause, MOST_PAUSE_S) * 0.02) == [Start(1)]
+        assert rig.sleep(min(pause, MAX_RESTART_DELAY_S) * 0.99) == []
+        assert rig.sleep(min(pause, MAX_RESTART_DELAY_S) * 0.02) == [Start(1)]
         rig.ready(1)
         pause *= 2
-    rig.sleep(CALM_S)
+    rig.sleep(RESTART_RESET_S)
     rig.ends(1, 1)
-    assert rig.sleep(FIRST_PAUSE_S) == [Start(1)]  # it had run long enough to be forgiven
+    assert rig.sleep(MIN_RESTART_DELAY_S) == [Start(1)]  # it had run long enough to be forgiven
 
 
 def test_a_file_that_starts_no_worker_ends_all_with_its_status() -> None:
     rig = Rig(up=False)
-    assert rig.ends(0, 2) == [Tell(1, signal.SIGTERM), Tell(2, signal.SIGTERM)]
+    assert rig.ends(0, 2) == [SendSignal(1, signal.SIGTERM), SendSignal(2, signal.SIGTERM)]
     rig.ends(1, 0)
-    assert rig.ends(2, 2) == [End(2)]
+    assert rig.ends(2, 2) == [Exit(2)]
     assert rig.plan.next_at() is None
 
 
 def test_one_that_is_killed_before_any_is_up_is_started_again() -> None:
     rig = Rig(up=False)
     rig.ends(0, -signal.SIGKILL)
-    assert rig.sleep(FIRST_PAUSE_S) == [Start(0)]
+    assert rig.sleep(MIN_RESTART_DELAY_S) == [Start(0)]
 
 
 def test_a_renewal_takes_one_at_a_time_and_waits_for_its_successor() -> None:
     rig = Rig()
     for slot in range(3):
-        assert (rig.done(rig.plan.renew(rig.now)) if slot == 0 else []) in ([], [Tell(0, signal.SIGTERM)])
+        assert (rig.done(rig.plan.renew(rig.now)) if slot == 0 else []) in (
+            [],
+            [SendSignal(0, signal.SIGTERM)],
+        )
         assert rig.plan.states()[slot] is State.DRAINING
         assert rig.plan.states().count(State.READY) == 2
         assert rig.ends(slot, 0) == [Start(slot)]
@@ -105,15 +118,15 @@
     rig = Rig()
     rig.ends(2, -9)
     assert rig.done(rig.plan.renew(rig.now)) == []  # two would be missing
-    rig.sleep(FIRST_PAUSE_S)
-    assert rig.ready(2) == [Tell(0, signal.SIGTERM)]
+    rig.sleep(MIN_RESTART_DELAY_S)
+    assert rig.ready(2) == [SendSignal(0, signal.SIGTERM)]
     rig.ends(2, -9)  # while the first drains
     rig.sleep(1)
     assert rig.ready(2) == []
     rig.ends(0, 0)
-    assert rig.ready(0) == [Tell(1, signal.SIGTERM)]
+    assert rig.ready(0) == [SendSignal(1, signal.SIGTERM)]
     rig.ends(1, 0)
-    assert rig.ready(1) == [Tell(2, signal.SIGTERM)]
+    assert rig.ready(1) == [SendSignal(2, signal.SIGTERM)]
 
 
 def test_a_renewal_that_starts_no_worker_leaves_the_others_alone() -> None:
@@ -122,31 +135,33 @@
     rig.ends(0, 0)
     for _ in range(6):
         rig.ends(0, 2)
-        assert rig.sleep(MOST_PAUSE_S) == [Start(0)]
+        assert rig.sleep(MAX_RESTART_DELAY_S) == [Start(0)]
     assert rig.plan.states()[1:] == [State.READY] * 2
 
 
 def test_all_are_told_to_read_the_file_one_after_the_other() -> None:
     rig = Rig()
-    assert rig.done(rig.plan.reread(rig.now)) == [Tell(0, signal.SIGHUP)]
-    assert rig.sleep(10) == [Tell(1, signal.SIGHUP), Tell(2, signal.SIGHUP)]
+    assert rig.done(rig.plan.reread_file(rig.now)) == [SendSignal(0, signal.SIGHUP)]
+    assert rig.sleep(10) == [SendSignal(1, signal.SIGHUP), SendSignal(2, signal.SIGHUP)]
 
 
 def test_the_end_drains_one_after_the_other_and_in_time() -> None:
     rig = Rig()
-    assert rig.done(rig.plan.stop(rig.now)) == [Tell(0, signal.SIGTERM)]
+    assert rig.done(rig.plan.stop(rig.now)) == [SendSignal(0, signal.SIGTERM)]
     rig.sleep(2)
-    assert rig.ends(0, 0) == [Tell(1, signal.SIGTERM)]
-    assert rig.sleep(WITHIN - DRAIN) == [Tell(2, signal.SIGTERM)]  # 1 takes long: the last must have its time
+    assert rig.ends(0, 0) == [SendSignal(1, signal.SIGTERM)]
+    assert rig.sleep(WITHIN - DRAIN) == [
+        SendSignal(2, signal.SIGTERM)
+    ]  # 1 takes long: the last must have its time
     rig.ends(1, 0)
-    assert rig.ends(2, 0) == [End(0)]
+    assert rig.ends(2, 0) == [Exit(0)]
 
 
 def test_a_file_read_again_gives_the_end_other_times() -> None:
     rig = Rig(2)
-    rig.plan.allow(5.0, 1.0)
+    rig.plan.set_times(5.0, 1.0)
     rig.done(rig.plan.stop(rig.now))
-    rig.plan.allow(500.0, 1.0)  # too late: whoever kills us knows the time from the start of the end
+    rig.plan.set_times(500.0, 1.0)  # too late: whoever kills us knows the time from the start of the end
     rig.sleep(5.0)
     assert [t.signal for t in rig.told] == [signal.SIGTERM] * 2 + [signal.SIGKILL] * 2
 
@@ -155,23 +170,23 @@
     rig = Rig(2)
     rig.done(rig.plan.stop(rig.now))
     rig.sleep(WITHIN)
-    assert rig.told[-2:] == [Tell(0, signal.SIGKILL), Tell(1, signal.SIGKILL)]
+    assert rig.told[-2:] == [SendSignal(0, signal.SIGKILL), SendSignal(1, signal.SIGKILL)]
     rig.ends(0, -9)
-    assert rig.ends(1, -9) == [End(1)]
+    assert rig.ends(1, -9) == [Exit(1)]
 
 
 @pytest.mark.parametrize("drain", [0.1, 29.0, 500.0])
 def test_each_worker_is_told_to_drain_however_little_time_there_is(drain: float) -> None:
     plan = Plan(4, WITHIN, drain)
-    plan.begin(0.0)
+    plan.start_all(0.0)
     for slot in range(4):
-        plan.ready(slot, 0.0)
-    told, now = [a for a in plan.stop(0.0) if isinstance(a, Tell)], 0.0
+        plan.worker_ready(slot, 0.0)
+    told, now = [a for a in plan.stop(0.0) if isinstance(a, SendSignal)], 0.0
     while len(told) < 4:
         at = plan.next_at()
         assert at is not None and at > now
         now = at
-        told += [a for a in plan.due(now) if isinstance(a, Tell)]
+        told += [a for a in plan.due_actions(now) if isinstance(a, SendSignal)]
     assert [t.signal for t in told] == [signal.SIGTERM] * 4
     assert now <= max(WITHIN - drain, 0.0)
 
@@ -210,7 +225,7 @@
     def file_changes(self, renews: bool) -> None:
         plan, now = self.rig.plan, self.rig.now
         if not self.stopped:
-            self.rig.done(plan.renew(now) if renews else plan.reread(now))
+            self.rig.done(plan.renew(now) if renews else plan.reread_file(now))
 
     @precondition(lambda self: not self._over())
     @rule()
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -16,7 +16,7 @@
 
 from passpost.operator.model import File
 from passpost.operator.reader import parse
-from passpost.workers.supervisor import divided
+from passpost.workers.supervisor import worker_share
 from tests.cli.test_clients import serving
 from tests.cli.test_operator import PATIENCE, free_port, get, running, until_ready
 from tests.operator.files import GOOD
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("count", [2, 4])
 def test_a_worker_s_part_of_a_file(count: int) -> None:
-    whole, part = file(), divided(file(), count)
+    whole, part = file(), worker_share(file(), count)
     assert part.limits.descriptors * count <= whole.limits.descriptors
     assert part.limits.connections * count <= 0.55 * whole.limits.descriptors
     assert part.limits.upstream_connections * count <= 0.35 * whole.limits.descriptors
@@ -156,4 +156,4 @@
 
 def test_limits_that_can_not_be_divided_are_refused() -> None:
     with pytest.raises(ValueError, match="1024 are too few for 64 workers"):
-        divided(file(), 64)
+        worker_share(file(), 64)
