--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The callers' side over loopback sockets."""
+"""The client side of the balancer over loopback sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from umberworks.interface import RequestArrived
 
 
-def test_a_request_goes_on_unchanged_and_its_answer_comes_back() -> None:
+def test_request_and_answer_are_forwarded_unchanged() -> None:
     async def test() -> None:
         upstream = FakeServer(OK.replace(b"\r\n\r\n", b"\r\nContent-Type: image/png\r\n\r\n"))
         async with balancer(upstream) as b:
@@ -60,8 +60,8 @@
     run(test())
 
 
-def test_a_balancer_that_is_alone_takes_the_callers_of_one_that_is_away() -> None:
-    """While one of two balancers restarts, the other must not refuse for want of half the fleet's room."""
+def test_one_of_two_balancers_serves_the_whole_load() -> None:
+    """While one of two balancers restarts, the other may use the whole fleet, not half of its capacity."""
 
     async def test() -> None:
         upstreams = [FakeServer(silent) for _ in range(4)]
@@ -84,7 +84,7 @@
     run(test())
 
 
-def test_bytes_may_be_split_anywhere_and_connections_are_kept() -> None:
+def test_request_may_arrive_byte_by_byte_and_connection_is_kept_alive() -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
@@ -100,7 +100,7 @@
     run(test())
 
 
-def test_requests_sent_ahead_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
@@ -123,7 +123,7 @@
     ("raw", "status"),
     [
         (b"nonsense\r\n\r\n", 400),
-        (GET + b"Host: b\r\n\r\n", 400),  # no id
+        (GET + b"Host: b\r\n\r\n", 400),  # no request id
         (GET + b"X-Txn:\r\n\r\n", 400),
         (GET + b"X-Txn: a b\r\n\r\n", 400),
         (GET + b"X-Txn: \xe9\r\n\r\n", 400),
@@ -137,12 +137,12 @@
         (GET + b"X-Txn: a\r\nX-Remaining: 1_0\r\n\r\n", 400),
         (GET + b"X-Txn: a\r\nX-Remaining: 1\r\nX-Remaining: 2\r\n\r\n", 400),
         (GET + b"X-Txn: a\r\nX-Remaining: -1\r\n\r\n", 504),
-        (GET + b"X-Txn: a\r\nIdempotency-Key: k\r\n\r\n", 400),  # each effect has its own form
+        (GET + b"X-Txn: a\r\nIdempotency-Key: k\r\n\r\n", 400),  # a key is only allowed for keyed classes
         (GET + b"X-Txn: a\r\n" + TWO + b"\r\nhi", 400),
         (b"POST /read HTTP/1.1\r\nX-Txn: a\r\n\r\n", 405),
         (b"GET /pay HTTP/1.1\r\nX-Txn: a\r\n\r\n", 405),
         (PAY + b"Idempotency-Key: k\r\n" + TWO + b"\r\nhi", 400),
-        (ORDER + TWO + b"\r\nhi", 400),  # keyed, with no key
+        (ORDER + TWO + b"\r\nhi", 400),  # a keyed class without a key
         (ORDER + TWO + b"Idempotency-Key: k\r\nIdempotency-Key: k\r\n\r\nhi", 400),
         (ORDER + TWO + b"Idempotency-Key:\r\n\r\nhi", 400),
         (PAY + b"Content-Length: -5\r\n\r\n", 400),
@@ -159,7 +159,7 @@
         (b"DELETE /read HTTP/1.1\r\nX-Txn: a\r\n\r\n", 405),
     ],
 )
-def test_what_is_malformed_gets_an_error_and_reaches_no_upstream(raw: bytes, status: int) -> None:
+def test_malformed_request_is_refused_and_not_forwarded(raw: bytes, status: int) -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
@@ -174,14 +174,14 @@
     run(test())
 
 
-HIDDEN = b"0\r\n\r\nGET /read HTTP/1.1\r\nX-Txn: hidden\r\n\r\n"
+SMUGGLED = b"0\r\n\r\nGET /read HTTP/1.1\r\nX-Txn: hidden\r\n\r\n"
 
 
 @pytest.mark.parametrize(
     "framing",
     [
-        b"Content-Length: %d\r\n" % len(HIDDEN) + CHUNKED,
-        CHUNKED + b"Content-Length: %d\r\n" % len(HIDDEN),
+        b"Content-Length: %d\r\n" % len(SMUGGLED) + CHUNKED,
+        CHUNKED + b"Content-Length: %d\r\n" % len(SMUGGLED),
         b"Content-Length: 0\r\nTransfer-Encoding: identity\r\n",
         b"Transfer-Encoding: gzip, chunked\r\n",
         b"Transfer-Encoding: chunked, gzip\r\n",
@@ -193,12 +193,14 @@
     ],
 )
 @pytest.mark.parametrize("head", [PAY, PAY.replace(b"1.1", b"1.0")])
-def test_two_readings_of_a_length_are_refused_and_nothing_behind_is_read(head: bytes, framing: bytes) -> None:
+def test_ambiguous_body_length_is_refused_and_following_bytes_are_ignored(
+    head: bytes, framing: bytes
+) -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(head + framing + b"\r\n" + HIDDEN)
+            client.writer.write(head + framing + b"\r\n" + SMUGGLED)
             raw = await client.reader.read()
             assert raw.startswith(b"HTTP/1.1 400 ") and raw.count(b"HTTP/1.1 ") == 1
             assert upstream.got == [] and b.node.engine._count == 0
@@ -206,8 +208,8 @@
     run(test())
 
 
-def test_no_socket_holds_small_writes_back() -> None:
-    # TCP_NODELAY: what the system still holds goes with a reset.
+def test_all_sockets_use_tcp_nodelay() -> None:
+    # With TCP_NODELAY nothing is held back in the kernel; bytes held there are lost in a reset.
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             assert await (await b.connect()).ask() is not None
@@ -221,7 +223,7 @@
     run(test())
 
 
-def test_an_id_that_is_open_is_not_sent_on_again() -> None:
+def test_id_of_an_open_request_is_refused() -> None:
     # An upstream would take the second request for a copy of the first, and drop it or run it twice.
     async def test() -> None:
         release = asyncio.Event()
@@ -240,7 +242,7 @@
     run(test())
 
 
-def test_a_caller_that_leaves_takes_its_attempt_along() -> None:
+def test_client_disconnect_cancels_its_attempt() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
         async with balancer(upstream) as b:
@@ -254,22 +256,22 @@
     run(test())
 
 
-def test_no_answer_in_time_is_a_failure_and_is_forgotten() -> None:
+def test_deadline_fails_request_and_closes_upstream_connection() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
         async with balancer(upstream) as b:
             client = await b.connect()
             answer = await client.ask("/pay", method="POST", X_Remaining="0.05")
             assert answer is not None and answer.status == 504
-            await until(lambda: upstream.closed == 1)  # a late answer must not meet another request
+            await until(lambda: upstream.closed == 1)  # a late answer must not reach another request
             assert not b.node.engine._requests and not b.node.engine._balancer._requests
 
     run(test())
 
 
-def test_a_refusal_says_when_to_come_back() -> None:
+def test_refusal_has_retry_after() -> None:
     def crowd(data: dict[str, Any]) -> None:
-        data["settings"]["classes"][0]["target"] = 100.0  # the module waits a tenth of it for room
+        data["settings"]["classes"][0]["target"] = 100.0  # a request may queue for a tenth of the target
 
     async def test() -> None:
         async with balancer(change=crowd) as b:
@@ -280,8 +282,8 @@
     run(test())
 
 
-def test_an_upstreams_own_503_is_no_refusal() -> None:
-    # A refusal tells the client that trying again is harmless; an attempt that may have run is not.
+def test_upstream_503_becomes_502() -> None:
+    # A refusal tells the client that a repeat is harmless, which is not true of an attempt that may have run.
     async def test() -> None:
         upstream = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         async with balancer(upstream) as b:
@@ -292,7 +294,7 @@
     run(test())
 
 
-def test_a_fault_in_one_request_fails_that_request_only() -> None:
+def test_exception_fails_only_its_own_request() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             module = b.node.engine._balancer
@@ -313,7 +315,7 @@
     run(test())
 
 
-def test_an_answer_that_the_module_never_gives_is_given_in_time() -> None:
+def test_request_without_decision_fails_at_its_deadline() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             b.node.engine._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
@@ -334,8 +336,8 @@
     run(test())
 
 
-def test_a_drain_serves_its_callers_to_the_last_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With one balancer in a zone they have nowhere else to go until it is back.
+def test_drain_keeps_connections_until_closing_phase(monkeypatch: pytest.MonkeyPatch) -> None:
+    # With one balancer in a zone clients have no other until it is back.
     monkeypatch.setattr(listener, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
@@ -349,13 +351,13 @@
             ready = await first.ask("/health/ready")
             assert ready is not None and ready.status == 503
             b.hang_up()
-            await drained  # nobody is left to wait for
+            await drained  # no connection is left to wait for
 
     run(test())
 
 
-def test_a_drain_keeps_connections_free_for_its_callers(monkeypatch: pytest.MonkeyPatch) -> None:
-    # New ones come no more: callers that found all of them busy would be gone for good.
+def test_drain_leaves_connections_free_for_its_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    # No new connections arrive in a drain, so clients that find all connections busy would be cut off for good.
     monkeypatch.setattr(listener, "NEW_CONNECTIONS_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
@@ -368,7 +370,8 @@
             for caller in callers[:6]:
                 caller.send()
             await until(lambda: sum(len(u.got) for u in upstreams) == 6)
-            for _ in range(2):  # the last but one may ask again as often as it likes
+            # The client of the last free connection but one may repeat its request at any rate.
+            for _ in range(2):
                 refused = await callers[6].ask()
                 assert refused is not None and refused.status == 503 and refused.reusable
                 assert b"Retry-After" in dict(refused.headers)
@@ -387,7 +390,7 @@
     run(test())
 
 
-def test_a_drain_takes_late_comers_and_finishes_what_is_open() -> None:
+def test_drain_accepts_late_connections_and_finishes_open_requests() -> None:
     async def test() -> None:
         release = asyncio.Event()
         upstream = FakeServer(held(release, txn="slow"))
@@ -398,11 +401,11 @@
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(PATIENCE))
             await asyncio.sleep(0)
             late = await b.connect()
-            b.node.server._deadline -= PATIENCE - listener.CLOSING_PHASE_S  # the last call
+            b.node.server._deadline -= PATIENCE - listener.CLOSING_PHASE_S  # start the closing phase
             await until(lambda: b.node.server.closing)
             answer = await late.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
-            assert await idle.answer() is None  # closed between requests
+            assert await idle.answer() is None  # closed between two requests
             assert not drained.done()
             release.set()
             answer = await busy.answer()
@@ -412,23 +415,23 @@
     run(test())
 
 
-def test_what_comes_late_in_a_drain_is_answered_before_its_end() -> None:
+def test_late_request_in_drain_is_answered_before_its_end() -> None:
     async def test() -> None:
         async with balancer(FakeServer(silent)) as b:
             client = await b.connect()
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(0.05))
             await asyncio.sleep(0)
-            answer = await client.ask("/pay", method="POST")  # it would wait for 9 s
+            answer = await client.ask("/pay", method="POST")  # without a drain it would wait for 9 s
             assert answer is not None and answer.status == 504
             await drained
 
     run(test())
 
 
-def test_while_callers_are_many_answers_close_and_idle_connections_go(
+def test_crowded_listener_closes_after_answers_and_drops_idle_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Callers that ask once and stay would hold what others need to come in at all.
+    # Clients that send one request and stay connected would use up the connections that others need.
     monkeypatch.setattr(connection, "CROWDED_IDLE_TIMEOUT_S", 0.0)
 
     async def test() -> None:
@@ -437,19 +440,19 @@
             first, second = await b.connect(), await b.connect()
             for client in (first, second):
                 answer = await client.ask()
-                assert answer is not None and answer.reusable  # two of four: not many yet
+                assert answer is not None and answer.reusable  # two of four connections: not crowded yet
             third = await b.connect()
             answer = await third.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
             fourth = await b.connect()
             fifth = await b.connect()
-            assert await first.answer() is None  # it has been idle for long enough now
+            assert await first.answer() is None  # idle for longer than the shortened timeout
             assert not fourth.writer.is_closing() and not fifth.writer.is_closing()
 
     run(test())
 
 
-def test_what_was_sent_ahead_is_answered_before_a_crowded_connection_closes(
+def test_pipelined_requests_are_answered_before_crowded_connection_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(listener, "KEEP_ALIVE_SHARE", 0.0)
@@ -464,7 +467,9 @@
     run(test())
 
 
-def test_at_the_limit_idle_connections_give_way_and_others_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_at_connection_limit_idle_connections_are_evicted_and_others_wait(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(listener, "KEEP_ALIVE_SHARE", 1.0)
 
     async def test() -> None:
@@ -483,7 +488,7 @@
             third.send()
             assert await first.answer() is None  # idle for longest
             await until(lambda: len(upstream.got) == 3)
-            fourth = await b.connect()  # in the queue: both others are busy
+            fourth = await b.connect()  # stays in the accept queue, as both others are busy
             fourth.send()
             await until(lambda: not b.node.server._accepting)
             assert len(b.node.server.connections) == 2
@@ -494,9 +499,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /read HTT"])
-def test_at_the_limit_what_never_asked_gives_way_before_what_did(
-    monkeypatch: pytest.MonkeyPatch, sent: bytes
-) -> None:
+def test_connection_without_a_request_is_evicted_first(monkeypatch: pytest.MonkeyPatch, sent: bytes) -> None:
     monkeypatch.setattr(listener, "KEEP_ALIVE_SHARE", 1.0)
 
     async def test() -> None:
@@ -504,12 +507,12 @@
             b.node.server._max_open = 2
             used = await b.connect()
             assert await used.ask() is not None
-            useless = await b.connect()
-            useless.writer.write(sent)
+            without_request = await b.connect()
+            without_request.writer.write(sent)
             await until(lambda: sum(c._reading for c in b.node.server.connections) == bool(sent))
             await until(lambda: len(b.node.server.connections) == 2)
             another = await b.connect()
-            assert await useless.answer() is None
+            assert await without_request.answer() is None
             for client in (used, another):
                 answer = await client.ask()
                 assert answer is not None and answer.status == 200
@@ -517,7 +520,7 @@
     run(test())
 
 
-def test_a_caller_that_does_not_read_does_not_fill_our_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", PATIENCE)
 
     async def test() -> None:
@@ -540,7 +543,7 @@
 
 
 @pytest.mark.parametrize("draining", [True, False])
-def test_an_unread_answer_holds_up_neither_us_nor_a_drain(
+def test_unread_answer_delays_neither_service_nor_drain(
     monkeypatch: pytest.MonkeyPatch, draining: bool
 ) -> None:
     monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", PATIENCE)
@@ -550,40 +553,40 @@
             client = await b.connect()
             await until(lambda: bool(b.node.server.connections))
             (connection,) = b.node.server.connections
-            connection.write(b"x" * 64 * 1024 * 1024)  # more than the kernel's buffers take
+            connection.write(b"x" * 64 * 1024 * 1024)  # more than the kernel buffers
             if draining:
                 await b.node.server.drain(0.0)
             else:
-                client.send()  # ahead: it waits until the answer before it has been read
+                client.send()  # pipelined: waits until the answer before it has been read
                 await until(lambda: bool(connection._queue))
                 monkeypatch.setattr("passpost.callers.connection.UNSENT_TIMEOUT_S", 0.0)
             await until(lambda: not b.node.server.connections)
-            assert not client.writer.is_closing()  # it was we who ended it
+            assert not client.writer.is_closing()  # the balancer closed the connection
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("target", "wanted"),
+    ("target", "expected"),
     [
         ("http://backend.local/read?key=1", "/read?key=1"),
         ("HTTP://backend.local:7070/read", "/read"),
         ("/read?of=http://x/y", "/read?of=http://x/y"),
     ],
 )
-def test_a_target_may_be_in_absolute_form(target: str, wanted: str) -> None:
+def test_target_may_be_in_absolute_form(target: str, expected: str) -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
             answer = await (await b.connect()).ask(target)
             assert answer is not None and answer.status == 200
-            assert upstream.got[0].line == f"GET {wanted} HTTP/1.1"
+            assert upstream.got[0].line == f"GET {expected} HTTP/1.1"
 
     run(test())
 
 
-def test_a_line_end_behind_a_request_leaves_its_connection_idle() -> None:
-    # Some clients send one; a connection that never counted as idle could not be closed, nor a drain end.
+def test_line_end_after_request_leaves_connection_idle() -> None:
+    # Some clients send one. A connection that never counts as idle could not be closed, nor could a drain end.
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
@@ -598,7 +601,7 @@
     run(test())
 
 
-def test_an_upgrade_is_not_offered_but_the_request_is_served() -> None:
+def test_upgrade_is_ignored_and_request_is_served() -> None:
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
@@ -611,7 +614,7 @@
     run(test())
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
@@ -636,7 +639,7 @@
     ],
 )
 @pytest.mark.parametrize("used", [False, True])
-def test_a_caller_that_never_ends_its_request_is_sent_away(
+def test_incomplete_request_times_out(
     monkeypatch: pytest.MonkeyPatch, first: bytes, then: bytes, status: int | None, used: bool
 ) -> None:
     async def test() -> None:
@@ -649,7 +652,7 @@
             client.writer.write(first)
             waiting = asyncio.get_running_loop().create_task(client.answer())
             while not waiting.done():
-                client.writer.write(then)  # a byte now and then gains no time
+                client.writer.write(then)  # single bytes do not extend the timeout
                 await asyncio.sleep(0.005)
             answer = waiting.result()
             assert answer is None if status is None else answer is not None and answer.status == status
@@ -657,7 +660,7 @@
     run(test())
 
 
-def test_a_bad_configuration_ends_it_with_one_plain_line(tmp_path: Path) -> None:
+def test_invalid_configuration_exits_with_one_line(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     good = config_data([])
     for text in (
@@ -684,9 +687,9 @@
     return next(line for line in lines if text in line)
 
 
-def test_sighup_reads_the_file_again_also_while_it_stops(tmp_path: Path) -> None:
+def test_sighup_reloads_configuration_also_during_shutdown(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    with socket.create_server(("127.0.0.1", 0)) as upstream:  # takes requests and answers none
+    with socket.create_server(("127.0.0.1", 0)) as upstream:  # accepts requests and answers none
         members = [member("s0", f"127.0.0.1:{upstream.getsockname()[1]}")]
         good = config_data(members)
         path.write_text(json.dumps(good))
@@ -699,21 +702,21 @@
             path.write_text(json.dumps(good | {"discovery": "127.0.0.1:2", "limits": {"sockets": 512}}))
             process.send_signal(signal.SIGHUP)
             assert "sockets waits for a restart" in _wait_for(process.stderr, "waits")
-            _wait_for(process.stderr, "discovery: ")  # nobody listens there
+            _wait_for(process.stderr, "discovery: ")  # nothing listens there
             with socket.create_connection(parse_address(address)) as client:
                 client.sendall(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nX-Remaining: 9\r\n\r\n")
-                taken, _ = upstream.accept()
-                with taken:
+                accepted, _ = upstream.accept()
+                with accepted:
                     process.send_signal(signal.SIGTERM)
                     _wait_for(process.stderr, "stopping")
                     process.send_signal(signal.SIGHUP)
                     _wait_for(process.stderr, "discovery at 127.0.0.1:2")
-                    taken.sendall(OK)
+                    accepted.sendall(OK)
                 assert client.recv(65536).startswith(b"HTTP/1.1 200 ")
             assert process.wait() == 0
 
 
-def test_the_program_ends_with_0_on_sigterm(tmp_path: Path) -> None:
+def test_sigterm_exits_with_status_0(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
     with program(path) as process:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts and their outcomes, and the connections they use, over loopback sockets."""
+"""Attempts at upstreams, their outcomes and the reuse of connections, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 REQUEST = Outgoing(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
 
 
-class Calls:
-    """Makes attempts and keeps their outcomes."""
+class AttemptRecorder:
+    """Makes attempts and records their outcomes."""
 
     def __init__(self, upstreams: Upstreams) -> None:
         self.upstreams = upstreams
@@ -43,14 +43,16 @@
 
 
 @asynccontextmanager
-async def calls(*servers: FakeServer, max_open: int = 10, idle: float = 30.0) -> AsyncIterator[Calls]:
+async def attempts_to(
+    *servers: FakeServer, max_open: int = 10, idle: float = 30.0
+) -> AsyncIterator[AttemptRecorder]:
     for server in servers:
         await server.start()
     upstreams = Upstreams(5.0, idle, max_open)
     upstreams.start()
     upstreams.route({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
     try:
-        yield Calls(upstreams)
+        yield AttemptRecorder(upstreams)
     finally:
         upstreams.stop()
         for server in servers:
@@ -82,9 +84,9 @@
         (OK.replace(b"\r\n\r\n", b"\r\nX-Pressure: {\xff\r\n\r\n"), Outcome.SERVED),
     ],
 )
-def test_what_an_answer_means(raw: bytes, outcome: Outcome) -> None:
+def test_answer_maps_to_outcome(raw: bytes, outcome: Outcome) -> None:
     async def test() -> None:
-        async with calls(FakeServer(raw)) as c:
+        async with attempts_to(FakeServer(raw)) as c:
             assert await c.outcome() is outcome
 
     run(test())
@@ -101,23 +103,23 @@
         b"HTTP/1.1 103 Early\r\n\r\n",
     ],
 )
-def test_an_answer_cut_short_is_a_reset(raw: bytes) -> None:
+def test_truncated_answer_is_broken(raw: bytes) -> None:
     async def cut(request: Got, writer: Writer) -> None:
         writer.write(raw)
         writer.close()
 
     async def test() -> None:
-        async with calls(FakeServer(cut)) as c:
+        async with attempts_to(FakeServer(cut)) as c:
             assert await c.outcome() is Outcome.BROKEN
 
     run(test())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_unreached() -> None:
     async def test() -> None:
         with socket.socket() as unused:
-            unused.bind(("127.0.0.1", 0))  # bound, but it does not listen
-            async with calls() as c:
+            unused.bind(("127.0.0.1", 0))  # bound, but not listening
+            async with attempts_to() as c:
                 c.upstreams.route({"s0": unused.getsockname()})
                 assert await c.outcome() is Outcome.UNREACHED
                 assert await c.outcome("unknown") is Outcome.NOT_SENT
@@ -125,12 +127,12 @@
     run(test())
 
 
-def test_a_break_before_the_last_byte_is_out_never_ran() -> None:
-    # The kernel's buffers take a few MB, so this request can't have gone out whole.
+def test_connection_loss_before_last_request_byte_is_unreached() -> None:
+    # The kernel buffers only a few MB, so this request cannot have been sent whole.
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            async with calls() as c:
+            async with attempts_to() as c:
                 c.upstreams.route({"s0": listener.getsockname()})
                 attempt = c.send(request=Outgoing(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
@@ -142,10 +144,10 @@
     run(test())
 
 
-def test_a_timed_out_or_cancelled_attempt_closes_its_connection() -> None:
+def test_timed_out_or_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
         server = FakeServer(silent)
-        async with calls(server) as c:
+        async with attempts_to(server) as c:
             assert await c.outcome(timeout=0.02) in (Outcome.TIMED_OUT, Outcome.UNREACHED)
             attempt = c.send()
             await until(lambda: attempt.is_written())
@@ -157,12 +159,12 @@
     run(test())
 
 
-@pytest.mark.parametrize("rested", [True, False])
-def test_the_most_recent_connection_that_has_rested_is_used_again(
-    monkeypatch: pytest.MonkeyPatch, rested: bool
+@pytest.mark.parametrize("past_delay", [True, False])
+def test_last_used_connection_past_reuse_delay_is_reused(
+    monkeypatch: pytest.MonkeyPatch, past_delay: bool
 ) -> None:
-    # An upstream may close right behind its answer, or answer again: with no rest the next request would cross that.
-    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0 if rested else 60.0)
+    # An upstream may close right after its answer, or send a second one. A request written at once would cross that.
+    monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0 if past_delay else 60.0)
 
     async def test() -> None:
         order: list[Writer] = []
@@ -174,30 +176,30 @@
             writer.write(OK)
 
         server = FakeServer(reply)
-        async with calls(server) as c:
+        async with attempts_to(server) as c:
             c.send(), c.send()
             await until(lambda: len(order) == 2)
             release.set()
             await until(lambda: len(c.outcomes) == 2)
-            wanted = c.upstreams._pools["s0"].idle[-1] if rested else None
+            expected_connection = c.upstreams._pools["s0"].idle[-1] if past_delay else None
             attempt = c.send()
-            assert attempt.connection is wanted
+            assert attempt.connection is expected_connection
             await until(lambda: len(c.outcomes) == 3)
-            assert server.connections == 2 + (not rested)
+            assert server.connections == 2 + (not past_delay)
 
     run(test())
 
 
-@pytest.mark.parametrize("after", [b"stray", OK, None])
-def test_an_idle_connection_that_speaks_or_ends_is_dropped(after: bytes | None) -> None:
+@pytest.mark.parametrize("sent_after_answer", [b"stray", OK, None])
+def test_idle_connection_with_stray_data_or_eof_is_dropped(sent_after_answer: bytes | None) -> None:
     async def test() -> None:
         server = FakeServer()
-        async with calls(server) as c:
+        async with attempts_to(server) as c:
             assert await c.outcome() is Outcome.SERVED
-            if after is None:
+            if sent_after_answer is None:
                 server.writers[0].close()
             else:
-                server.writers[0].write(after)
+                server.writers[0].write(sent_after_answer)
             await until(lambda: c.upstreams._open_count == 0)
             assert await c.outcome() is Outcome.SERVED
             assert server.connections == 2
@@ -205,27 +207,29 @@
     run(test())
 
 
-def test_an_answer_with_more_behind_it_is_good_but_its_connection_is_not() -> None:
+def test_answer_followed_by_surplus_bytes_is_served_but_connection_is_dropped() -> None:
     async def test() -> None:
-        async with calls(FakeServer(OK + OK)) as c:
+        async with attempts_to(FakeServer(OK + OK)) as c:
             assert await c.outcome() is Outcome.SERVED
             assert c.upstreams._open_count == 0
 
     run(test())
 
 
-@pytest.mark.parametrize("after", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"noise", None])
-def test_a_connection_with_something_unread_is_not_used_again(
-    after: bytes | None, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize(
+    "sent_after_answer", [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"noise", None]
+)
+def test_connection_with_unread_data_is_not_reused(
+    sent_after_answer: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The loop has no turn between the second answer's coming and the next attempt: only the kernel knows.
+    # The event loop does not run between the second answer's arrival and the next attempt: only the kernel knows of it.
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 0.0)
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
-            async with calls() as c:
+            async with attempts_to() as c:
                 c.upstreams.route({"s0": listener.getsockname()})
                 c.send()
                 peer, _ = await loop.sock_accept(listener)
@@ -233,35 +237,35 @@
                     await loop.sock_recv(peer, 65536)
                     peer.send(OK)
                     await until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open_count == 1)
-                    if after is None:
+                    if sent_after_answer is None:
                         peer.shutdown(socket.SHUT_WR)
                     else:
-                        peer.send(after)
+                        peer.send(sent_after_answer)
                     attempt = c.send()
                     assert (
                         attempt.connection is None and c.upstreams._open_count == 1
-                    )  # a new one is on its way
+                    )  # a new connection is being opened
                     attempt.cancel()
 
     run(test())
 
 
-def test_connections_idle_for_long_are_closed_by_us(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_after_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_pool, "SWEEP_INTERVAL_S", 0.01)
 
     async def test() -> None:
         server = FakeServer()
-        async with calls(server, idle=0.0) as c:
+        async with attempts_to(server, idle=0.0) as c:
             assert await c.outcome() is Outcome.SERVED
             await until(lambda: server.closed == 1)
 
     run(test())
 
 
-def test_a_new_address_under_the_same_name_is_used_at_once() -> None:
+def test_changed_address_is_used_at_once() -> None:
     async def test() -> None:
         old, new = FakeServer(), FakeServer()
-        async with calls(old, new) as c:
+        async with attempts_to(old, new) as c:
             await c.outcome("s0")
             c.upstreams.route({"s0": parse_address(new.host_port)})
             await until(lambda: old.closed == 1)
@@ -271,26 +275,26 @@
     run(test())
 
 
-def test_at_the_limit_the_oldest_idle_connection_gives_way() -> None:
+def test_at_connection_limit_longest_idle_connection_is_closed() -> None:
     async def test() -> None:
         first, second = FakeServer(), FakeServer(silent)
-        async with calls(first, second, max_open=1) as c:
+        async with attempts_to(first, second, max_open=1) as c:
             assert await c.outcome("s0") is Outcome.SERVED
             held = c.send("s1")
             await until(held.is_written)
             await until(lambda: first.closed == 1)
-            assert await c.outcome("s0") is Outcome.UNREACHED  # nothing idle is left to close
+            assert await c.outcome("s0") is Outcome.UNREACHED  # there is no idle connection left to close
             assert c.upstreams._open_count == 1
 
     run(test())
 
 
-def test_a_write_that_raises_still_ends_its_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_while_sending_ends_attempt_as_broken(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(connection: object, attempt: Attempt) -> None:
         raise RuntimeError("made up")
 
     async def test() -> None:
-        async with calls(FakeServer()) as c:
+        async with attempts_to(FakeServer()) as c:
             monkeypatch.setattr(Connection, "send_request", fail)
             assert await c.outcome() is Outcome.BROKEN
             assert c.upstreams._open_count == 0
@@ -298,7 +302,7 @@
     run(test())
 
 
-def test_only_the_module_sends_again() -> None:
+def test_request_is_resent_only_if_it_has_not_run() -> None:
     async def test() -> None:
         async def reset(request: Got, writer: Writer) -> None:
             writer.close()
@@ -307,9 +311,9 @@
         async with balancer(broken, away) as b:
             answer = await (await b.connect()).ask("/pay", method="POST")
             assert answer is not None and answer.status in (502, 503)
-            assert len(broken.got) <= 1  # it may have run: not once more
+            assert len(broken.got) <= 1  # it may have run, so it is not sent again
         async with balancer(away, good) as b:
             answer = await (await b.connect()).ask("/pay", method="POST")
-            assert answer is not None and answer.status == 200  # a request turned away never ran
+            assert answer is not None and answer.status == 200  # a request that was turned away has not run
 
     run(test())
