--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,4 +1,7 @@
-"""What is owed at the instant something ends, over loopback sockets. Each crossing is forced, none is hoped for."""
+"""Events that cross: a connection, a drain or a server ends while a request is on its way. All crossings are forced.
+
+The tests use loopback sockets.
+"""
 
 from __future__ import annotations
 
@@ -41,61 +44,61 @@
 from umberworks.interface import ListKind, Readiness
 
 
-def raw(target: str, txn: str) -> bytes:
+def request_bytes(target: str, txn: str) -> bytes:
     return f"GET {target} HTTP/1.1\r\nHost: b\r\nX-Txn: {txn}\r\nX-Remaining: 9.0\r\n\r\n".encode()
 
 
-def txns(upstream: FakeServer) -> list[str]:
+def received_ids(upstream: FakeServer) -> list[str]:
     return [got.headers["x-txn"] for got in upstream.got]
 
 
-class Gate:
-    """Holds back connections to upstreams until it is opened."""
+class ConnectGate:
+    """Delays connections to upstreams until it is opened."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting, self.open = 0, asyncio.Event()
-        go_on = Upstreams._connect
+        original_connect = Upstreams._connect
 
         async def connect(*args: object) -> None:
             self.waiting += 1
             await self.open.wait()
-            await go_on(*args)  # type: ignore[arg-type]
+            await original_connect(*args)  # type: ignore[arg-type]
 
         monkeypatch.setattr(Upstreams, "_connect", connect)
 
 
-# ---- callers that leave
+# ---- clients that disconnect
 
 
 @pytest.mark.parametrize("ahead", [1, 3])
-def test_of_a_request_and_an_end_that_were_read_together_nothing_is_sent(ahead: int) -> None:
-    # A process short of processor time finds both in the kernel: the request was taken, and sent for nobody.
+def test_request_read_together_with_eof_is_not_sent(ahead: int) -> None:
+    # A balancer short of CPU time reads the request and the end of the stream together; the request used to be sent.
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
             other = await b.connect()
-            # It leaves a connection to the upstream on which a request goes at once.
+            # It leaves an idle connection to the upstream, on which a request would be sent at once.
             assert await other.ask(X_Txn="before") is not None
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
-            client.sendall(b"".join(raw("/read", f"gone{i}") for i in range(ahead)))
-            client.close()  # all without a turn of the loop
+            client.sendall(b"".join(request_bytes("/read", f"gone{i}") for i in range(ahead)))
+            client.close()  # before the event loop runs again
             await until(lambda: b.node.server._tasks == set() and len(b.node.server.connections) == 1)
             answer = await other.ask(X_Txn="here")
             assert answer is not None and answer.status == 200
-            assert txns(upstream) == ["before", "here"]
+            assert received_ids(upstream) == ["before", "here"]
             assert not b.node.server.open_ids and b.node.engine.is_idle()
 
     run(test())
 
 
-def test_a_request_behind_another_is_not_sent_once_its_caller_has_left() -> None:
-    # Nothing is read while a request waits behind the open one, so that the end went unseen.
+def test_pipelined_request_is_not_sent_after_client_disconnect() -> None:
+    # Reading is paused while a request waits behind the open one, so the end of the stream used to go unseen.
     async def test() -> None:
         release = asyncio.Event()
         upstream = FakeServer(held(release))
         async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(raw("/read", "first") + raw("/read", "behind"))
+            client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
             await until(lambda: len(upstream.got) == 1)
             client.writer.write_eof()
             await until(
@@ -103,44 +106,46 @@
             )
             release.set()
             await until(lambda: not b.node.server.connections)
-            assert txns(upstream) == ["first"] and b.node.engine.is_idle()
+            assert received_ids(upstream) == ["first"] and b.node.engine.is_idle()
 
     run(test())
 
 
-@pytest.mark.parametrize("behind", [b"", raw("/read", "behind")])
-def test_a_caller_that_leaves_while_its_connection_comes_up_is_not_sent_for(
+@pytest.mark.parametrize("behind", [b"", request_bytes("/read", "behind")])
+def test_client_disconnect_during_upstream_connect_sends_nothing(
     behind: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        gate, upstream = Gate(monkeypatch), FakeServer()
+        gate, upstream = ConnectGate(monkeypatch), FakeServer()
         async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(raw("/read", "gone") + behind)
+            client.writer.write(request_bytes("/read", "gone") + behind)
             await until(lambda: gate.waiting == 1)
             client.writer.write_eof()
             gate.open.set()
             await until(lambda: not b.node.server.connections)
             answer = await (await b.connect()).ask(X_Txn="here")
             assert answer is not None and answer.status == 200
-            assert txns(upstream) == ["here"] and b.node.engine.is_idle()
+            assert received_ids(upstream) == ["here"] and b.node.engine.is_idle()
 
     run(test())
 
 
 @pytest.mark.parametrize("behind", [False, True])
-def test_a_request_that_comes_again_on_a_new_connection_is_no_copy_of_one_whose_caller_left(
+def test_retry_on_new_connection_is_not_refused_as_duplicate(
     behind: bool,
 ) -> None:
-    # A client whose connection ended under its request sends it once more; the end of the old one is not read yet.
+    # A client that lost its connection sends its request again before the end of the old connection has been read.
     async def test() -> None:
         release = asyncio.Event()
         upstream = FakeServer(held(release))
         async with balancer(upstream) as b:
             old = await b.connect()
-            old.writer.write(raw("/read", "again") + (raw("/read", "behind") if behind else b""))
+            old.writer.write(
+                request_bytes("/read", "again") + (request_bytes("/read", "behind") if behind else b"")
+            )
             await until(lambda: len(upstream.got) == 1)
-            reading(b, False)
+            set_reading(b, False)
             (caller,) = b.node.server.connections
             old.writer.close()
             await until(lambda: bool(caller._peer_closed(0)))
@@ -150,7 +155,8 @@
             release.set()
             answer = await new.answer()
             assert answer is not None and answer.status == 200
-            assert txns(upstream) == ["again", "again"] and upstream.closed == 1  # the first is out no more
+            # The first attempt was cancelled.
+            assert received_ids(upstream) == ["again", "again"] and upstream.closed == 1
             await until(b.node.engine.is_idle)
             assert not b.node.server.open_ids
 
@@ -158,17 +164,18 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_of_a_long_body_whose_last_bytes_and_end_were_read_together_the_last_is_not_sent(
+def test_last_bytes_of_long_body_read_together_with_eof_are_not_sent(
     chunked: bool,
 ) -> None:
-    # A process short of processor time finds both in the kernel: passed on, its request would run for nobody.
+    # A balancer short of CPU time reads the last bytes and the end of the stream together. With its last byte sent, the
+    # request would run although nobody waits for it.
     async def test() -> None:
-        got, gone = bytearray(), asyncio.Event()
+        got, connection_ended = bytearray(), asyncio.Event()
 
         async def take(reader: asyncio.StreamReader, writer: Writer) -> None:
             while data := await reader.read(65536):
                 got.extend(data)
-            gone.set()
+            connection_ended.set()
             writer.close()
 
         listener = await asyncio.start_server(take, "127.0.0.1", 0)
@@ -186,13 +193,13 @@
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(client, b"%x\r\n%b\r\n" % (part, first) if chunked else first)
             await until(lambda: got.count(b"a") >= part)
-            reading(b, False)
+            set_reading(b, False)
             await loop.sock_sendall(client, b"%x\r\n%b\r\n0\r\n\r\n" % (len(rest), rest) if chunked else rest)
             client.close()
             (caller,) = b.node.server.connections
             await until(lambda: bool(caller._peer_closed(0)))
-            reading(b, True)
-            await gone.wait()
+            set_reading(b, True)
+            await connection_ended.wait()
             assert not got.endswith(b"0\r\n\r\n") and (chunked or got.count(b"z") < len(rest))
             await until(lambda: b.node.engine.is_idle() and not b.node.server.connections)
         listener.close()
@@ -200,14 +207,15 @@
     run(test())
 
 
-def test_a_caller_that_left_is_not_sent_for_again_when_its_attempt_fails() -> None:
-    # It sent something behind its request, so that its end is not read; the first server turns it away.
+def test_failed_attempt_is_not_repeated_after_client_disconnect() -> None:
+    # The client has sent more behind its request, so the end of its stream is not read. The first server turns the
+    # request away.
     async def test() -> None:
         release = asyncio.Event()
         upstreams = FakeServer(held(release, AWAY)), FakeServer(held(release, AWAY))
         async with balancer(*upstreams) as b:
             client = await b.connect()
-            client.writer.write(raw("/read", "first") + raw("/read", "behind"))
+            client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
             await until(lambda: sum(len(u.got) for u in upstreams) == 1)
             client.writer.write_eof()
             await until(lambda: all(c._peer_closed(0) for c in b.node.server.connections))
@@ -218,11 +226,11 @@
     run(test())
 
 
-# ---- answers that come twice
+# ---- surplus answers
 
 
-def test_nobody_gets_the_second_answer_to_the_request_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    # It comes some milliseconds late, when the connection may carry the next request already.
+def test_second_answer_is_not_taken_for_the_next_requests_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    # It arrives some milliseconds late, when the connection may carry the next request already.
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)
     seen: list[Writer] = []
 
@@ -244,10 +252,10 @@
     run(test())
 
 
-# ---- choice and first byte
+# ---- list changes between the choice of a server and the first byte
 
 
-def tell(b: Balancer, name: str, host_port: str, phase: str) -> None:
+def apply_list_change(b: Balancer, name: str, host_port: str, phase: str) -> None:
     listing = parse_listing({"revision": 9, "complete": False, "members": [member(name, host_port, phase)]})
     b.node.discovery._apply(listing, ListKind.CHANGES)
     assert (name in b.node.discovery.members) == (phase != "left")
@@ -255,38 +263,39 @@
 
 @pytest.mark.parametrize("phase", ["leaving", "left"])
 @pytest.mark.parametrize("target", ["/read", "/pay"])
-def test_a_server_that_leaves_while_its_connection_comes_up_is_sent_nothing(
+def test_server_that_leaves_during_connect_is_sent_nothing(
     phase: str, target: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # The drain's grace runs from the news, and a connection may take longer to come up; the module chooses anew.
+    # The drain's grace period starts with the list's change, and a connection may take longer to open. The decision
+    # module chooses another server.
     async def test() -> None:
-        gate, upstreams = Gate(monkeypatch), (FakeServer(), FakeServer())
+        gate, upstreams = ConnectGate(monkeypatch), (FakeServer(), FakeServer())
         async with balancer(*upstreams) as b:
             client = await b.connect()
             client.send(target, method="GET" if target == "/read" else "POST", X_Txn="t")
             await until(lambda: gate.waiting == 1)
             (chosen,) = (n for n, u in b.node.upstreams._pools.items() if u.open)
             index = int(chosen[1:])
-            tell(b, chosen, upstreams[index].host_port, phase)
+            apply_list_change(b, chosen, upstreams[index].host_port, phase)
             gate.open.set()
             answer = await client.answer()
             assert answer is not None and answer.status == 200
-            assert txns(upstreams[index]) == [] and txns(upstreams[1 - index]) == ["t"]
+            assert received_ids(upstreams[index]) == [] and received_ids(upstreams[1 - index]) == ["t"]
 
     run(test())
 
 
-def test_a_server_that_is_back_before_its_connection_came_up_is_sent_the_request(
+def test_server_that_returns_during_connect_is_sent_the_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        gate, upstream = Gate(monkeypatch), FakeServer()
+        gate, upstream = ConnectGate(monkeypatch), FakeServer()
         async with balancer(upstream) as b:
             client = await b.connect()
             client.send(X_Txn="t")
             await until(lambda: gate.waiting == 1)
             for phase in ("leaving", "active"):
-                tell(b, "s0", upstream.host_port, phase)
+                apply_list_change(b, "s0", upstream.host_port, phase)
             assert b.node.discovery.members["s0"].readiness is Readiness.READY
             gate.open.set()
             answer = await client.answer()
@@ -306,10 +315,10 @@
     ],
 )
 @pytest.mark.parametrize("drips", [False, True])
-def test_an_answer_that_never_ends_is_cut_in_its_requests_time(
+def test_endless_answer_is_cut_at_its_requests_deadline(
     begun: bytes, drips: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Only a stall of 10 s ended it, and with a byte now and then nothing did.
+    # Only a stall of 10 s used to end such an answer, and with a byte now and then nothing did.
     monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 3_600.0)
 
     async def never_ends(request: Got, writer: Writer) -> None:
@@ -329,14 +338,15 @@
                 rest = await client.reader.read(-1)
             except ConnectionResetError:
                 rest = b""
-            assert not rest.endswith(b"0\r\n\r\n") and len(rest) < 100_000  # the caller can tell
+            # The client can apply_list_change that the answer is incomplete.
+            assert not rest.endswith(b"0\r\n\r\n") and len(rest) < 100_000
             await until(lambda: upstream.closed == 1 and b.node.engine.is_idle())
 
     run(test())
 
 
-def test_a_long_answer_that_comes_may_take_more_than_its_requests_time() -> None:
-    # The earlier days have answers of megabytes: cut at the request's time, 186 of 264 broke off there.
+def test_long_answer_in_progress_may_exceed_its_requests_deadline() -> None:
+    # The daily benchmarks have answers of megabytes: when they were cut at the request's time, 186 of 264 broke off.
     rest = asyncio.Event()
 
     async def in_two_parts(request: Got, writer: Writer) -> None:
@@ -362,7 +372,7 @@
 # ---- closes that cross a request
 
 
-def reading(b: Balancer, on: bool) -> None:
+def set_reading(b: Balancer, on: bool) -> None:
     for connection in b.node.server.connections:
         assert connection._transport is not None
         if on:
@@ -371,43 +381,43 @@
             connection._transport.pause_reading()
 
 
-async def unread(b: Balancer) -> None:
-    """Until a caller's bytes lie in the kernel."""
+async def wait_for_unread_bytes(b: Balancer) -> None:
+    """Wait until bytes from a client lie in the kernel."""
     transports = [c._transport for c in b.node.server.connections if c._transport is not None]
     await until(lambda: any(HOST.watcher(t)(0) for t in transports))
 
 
-def test_an_idle_connection_is_not_closed_on_a_request_that_nobody_has_read() -> None:
+def test_idle_timeout_spares_connection_with_unread_request() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             assert await client.ask() is not None
-            reading(b, False)
+            set_reading(b, False)
             client.send()
-            await unread(b)
+            await wait_for_unread_bytes(b)
             for connection in list(b.node.server.connections):
                 connection.sweep(connection.state_since + 1_000.0)  # idle for long
-            reading(b, True)
+            set_reading(b, True)
             answer = await client.answer()
             assert answer is not None and answer.status == 200
 
     run(test())
 
 
-def test_a_connection_with_an_unread_request_does_not_give_way() -> None:
+def test_connection_with_unread_request_is_not_evicted() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             assert await client.ask() is not None
             b.node.server.limit(1)
-            reading(b, False)
+            set_reading(b, False)
             client.send()
-            await unread(b)
+            await wait_for_unread_bytes(b)
             other = await b.connect()
             other.send()
-            while b.node.server._accepting:  # it looks for one that can be spared
+            while b.node.server._accepting:  # it looks for a connection to evict
                 await asyncio.sleep(0.005)
-            reading(b, True)
+            set_reading(b, True)
             for each in (client, other):
                 answer = await each.answer()
                 assert answer is not None and answer.status == 200
@@ -415,20 +425,20 @@
     run(test())
 
 
-def test_an_answer_that_closes_is_not_taken_along_by_bytes_unread() -> None:
+def test_closing_answer_is_not_lost_to_unread_bytes() -> None:
     async def test() -> None:
         release = asyncio.Event()
         upstream = FakeServer(held(release))
         async with balancer(upstream) as b:
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
-            client.sendall(raw("/read", "t").replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
+            client.sendall(request_bytes("/read", "t").replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
             await until(lambda: len(upstream.got) == 1)
-            reading(b, False)
+            set_reading(b, False)
             client.sendall(b"more")
             release.set()
             await until(lambda: b.node.engine.is_idle())
             await until(lambda: all(c._lingering for c in b.node.server.connections))
-            reading(b, True)  # what still comes is thrown away
+            set_reading(b, True)  # the rest is read and discarded
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 65536)
             assert answer.startswith(b"HTTP/1.1 200 ")
@@ -441,8 +451,8 @@
 # ---- drains
 
 
-def test_a_drain_ends_although_there_is_no_descriptor_for_good() -> None:
-    class Full:
+def test_drain_ends_without_free_descriptors() -> None:
+    class FailingListener:
         def __init__(self, listener: object) -> None:
             self._listener = listener
 
@@ -454,14 +464,14 @@
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
-            b.node.server._socket = Full(b.node.server._socket)  # type: ignore[assignment]
+            b.node.server._socket = FailingListener(b.node.server._socket)  # type: ignore[assignment]
             await b.node.server.drain(0.3)
             assert b.node.server.listener.fileno() == -1
 
     run(test())
 
 
-def test_a_drain_does_not_wait_for_a_body_that_is_still_coming() -> None:
+def test_drain_does_not_wait_for_unfinished_request_body() -> None:
     async def test() -> None:
         upstream = FakeServer(silent)
         async with balancer(upstream) as b:
@@ -470,36 +480,37 @@
             client.writer.write(f"{head}Content-Length: 39000000\r\n\r\n".encode())
             await until(lambda: any(c.is_busy() for c in b.node.server.connections))
             slow = next(iter(b.node.server.connections))
-            slow._body_since += 1_000.0  # it has sent ahead of its time, and need not end for long
+            slow._body_since += 1_000.0  # it has sent faster than the minimum rate, and may take long to end
             await b.node.server.drain(0.3)
             await until(lambda: not b.node.server.connections)
 
     run(test())
 
 
-def test_a_request_unread_at_the_very_end_of_a_drain_is_answered() -> None:
+def test_request_unread_at_end_of_drain_is_answered() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             assert await client.ask() is not None
             b.node.server.draining = b.node.server.closing = True
             b.node.server._deadline = b.node.server.monotonic()  # the time is up
-            reading(b, False)
+            set_reading(b, False)
             client.send()
-            await unread(b)
+            await wait_for_unread_bytes(b)
             ending = asyncio.create_task(b.node.server._finish_requests())
             await asyncio.sleep(0)
-            reading(b, True)
+            set_reading(b, True)
             answer = await client.answer()
-            assert answer is not None and answer.status == 504  # there is no time for more, and it is said
+            # No time is left to serve it, but it is answered.
+            assert answer is not None and answer.status == 504
             await ending
 
     run(test())
 
 
-def test_a_drain_is_over_before_the_kill_where_all_deadlines_are_short() -> None:
-    # With 0.3 s at most the kill may come 1 s after SIGTERM, and new connections come for 0.4 s.
-    marks: list[float] = []
+def test_drain_with_short_deadlines_ends_before_the_kill() -> None:
+    # With deadlines of 0.3 s at most the kill may come 1 s after SIGTERM; new connections arrive for 0.4 s of that.
+    times: list[float] = []
 
     async def main(loop: SimLoop, net: Network) -> None:
         data = config_data([member("s0", "10.0.0.9:1")])
@@ -510,20 +521,21 @@
         ending = asyncio.get_running_loop().create_task(node.stop())
         while not ending.done():
             if node.server.listener.fileno() >= 0:
-                marks[:] = [loop.time()]  # still taking callers
+                times[:] = [loop.time()]  # still accepting connections
             await asyncio.sleep(0.01)
-        marks.append(loop.time())
+        times.append(loop.time())
 
     run_simulated(main)
-    taken, over = marks
+    taken, over = times
     assert taken >= 0.45 and over <= 0.8
 
 
-# ---- signals at a start
+# ---- signals at startup
 
 
-def test_a_sighup_before_the_program_hears_signals_does_not_end_it(tmp_path: Path) -> None:
-    # The file is read after that, so that nothing is missed. Of the deploy file: no program can see to this itself.
+def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    # The file is read after the signal handlers are set, so no change is missed. The deploy file's run line has to
+    # ignore SIGHUP until then: the program cannot do that itself.
     run_line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
