--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""What the socket tests share: a balancer on ephemeral loopback ports, and its neighbours' sides.
+"""Helpers for the socket tests: a balancer on ephemeral loopback ports, its clients and its upstreams.
 
-Nothing here waits for a stretch of time to pass: everything waits for what it expects, up to PATIENCE.
+Nothing here sleeps for a fixed time: helpers poll for the state that they expect, for at most PATIENCE seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from passpost.node import Node
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # a hanging test fails in the end; no test depends on the figure
+PATIENCE = 20.0  # a test that hangs fails after this; no test depends on the value
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
@@ -45,7 +45,7 @@
 
 @dataclass
 class Got:
-    """A request as an upstream sees it."""
+    """A request as an upstream received it."""
 
     line: str
     headers: dict[str, str]
@@ -67,7 +67,7 @@
 
 
 class Upstream(Protocol):
-    """What listens in an upstream's place."""
+    """A test server in place of an upstream."""
 
     host_port: str
 
@@ -77,7 +77,7 @@
 
 
 class FakeServer:
-    """Listens on an ephemeral port and answers by a script: `reply(request, writer)`."""
+    """Listens on an ephemeral port; `reply(request, writer)` answers each request, or a fixed answer does."""
 
     def __init__(self, reply: Callable[[Got, Writer], Awaitable[None]] | bytes = OK) -> None:
         self.reply = reply
@@ -111,7 +111,7 @@
 
 
 async def silent(request: Got, writer: Writer) -> None:
-    """Take a request and answer nothing."""
+    """Read a request and send no answer."""
 
 
 def member(name: str, host_port: str, phase: str = "active", **more: Any) -> dict[str, Any]:
@@ -168,7 +168,7 @@
 def held(
     release: asyncio.Event, reply: bytes = OK, txn: str | None = None
 ) -> Callable[[Got, Writer], Awaitable[None]]:
-    """An upstream's script: requests are answered once released; with `txn` that one only, others at once."""
+    """A `reply` that answers once `release` is set; with `txn` only that request waits, others do not."""
 
     async def answer(request: Got, writer: Writer) -> None:
         if txn in (None, request.headers["x-txn"]):
@@ -179,7 +179,7 @@
 
 
 def program(path: Path, *command: str) -> subprocess.Popen[str]:
-    """The balancer as a process of its own, told of the configuration at `path`; what it logs can be read."""
+    """Start the balancer as a process with the configuration at `path`; its log can be read from stderr."""
     return subprocess.Popen(
         command or (sys.executable, "-m", "passpost"),
         cwd=ROOT,
@@ -190,7 +190,7 @@
 
 
 class Client:
-    """One caller's connection."""
+    """A client connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -204,7 +204,7 @@
         self.writer.write(data + body)
 
     async def answer(self) -> Answer | None:
-        """The next answer; None if the connection ended instead."""
+        """Read the next answer; None if the connection ended instead."""
         parser = AnswerReader()
         while (data := await self.reader.read(65536)) != b"":
             if (answer := parser.feed(data)) is not None:
@@ -217,7 +217,7 @@
 
 
 class Balancer:
-    """A balancer and whoever talks to it."""
+    """A balancer and the connections of its test clients."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -1,7 +1,7 @@
 """Close-delimited answers (RFC 9112, 6.3, rule 8): a close completes them, a reset makes them incomplete.
 
-The tests use loopback sockets with uvloop, as in service. Each crossing is forced: reading is paused until the end lies in
-the kernel. Clients are plain sockets where a reset has to be seen, as a StreamReader might hide it.
+The tests use loopback sockets with uvloop, as in service. Each crossing is forced: reading is paused until the end lies
+in the kernel. Clients are plain sockets where a reset has to be seen, as a StreamReader might hide it.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from passpost.host import HOST
 from passpost.streams import LONG
 from tests.loopback import Balancer, FakeServer, Got, Writer, balancer, run, until
-from tests.test_long import PATTERN, answer_of
+from tests.test_long import PATTERN, read_answer
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: 1\r\n\r\n"
 
@@ -72,7 +72,7 @@
             client = await b.connect()
             for _ in range(2):  # the client's connection is kept
                 client.send(target, "GET" if target == "/read" else "POST")
-                head, body = await answer_of(client.reader)
+                head, body = await read_answer(client.reader)
                 assert head.startswith(b"HTTP/1.1 200 ") and b"X-Found: 1" in head and body == PATTERN[:size]
             assert len(upstream.got) == 2
             await until(b.node.engine.is_idle)
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -23,7 +23,7 @@
 from passpost.workers.plan import Exit, Plan, SendSignal
 from tests.cli.test_operator import free_port, running
 from tests.loopback import PATIENCE, config_data, member
-from tests.workers.test_run import TEXT
+from tests.workers.test_run import CONFIG_TEXT
 
 BETWEEN_S = 0.0005  # the interpreter takes some 20 ms for its own end
 
@@ -66,7 +66,7 @@
     tmp_path: Path, numbers: list[signal.Signals], arguments: tuple[str, ...]
 ) -> None:
     path = tmp_path / "passpost.toml"
-    path.write_text(TEXT.format(port=free_port(), server=9))
+    path.write_text(CONFIG_TEXT.format(port=free_port(), server=9))
     with running(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
         assert exit_status(process, "serves", numbers) == 0
 
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways, over loopback sockets: passed on as they come, never piled up, never sent twice."""
+"""Long bodies in both directions over loopback sockets: streamed, with bounded buffers, and never sent twice."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.loopback import Client, Reader, Writer, balancer, run, until
 
 MB = 1024 * 1024
-PATTERN = bytes(range(251)) * 4_200  # a little over 1 MB, and no part of it repeats at a chunk's border
+PATTERN = bytes(range(251)) * 4_200  # a little over 1 MB, whose period fits no chunk size
 
 
-class Taker:
-    """An upstream that speaks bytes: `script(reader, writer, head)` is called for each connection's request."""
+class StreamingUpstream:
+    """An upstream that works on raw bytes: `script(reader, writer, head)` is called for each request."""
 
     def __init__(self, script: Callable[[Reader, Writer, bytes], object]) -> None:
         self.script = script
@@ -59,7 +59,7 @@
     return await reader.readexactly(length)
 
 
-def head_of(client: Client, length: int | None, target: str = "/order", txn: str = "t") -> bytes:
+def upload_head(client: Client, length: int | None, target: str = "/order", txn: str = "t") -> bytes:
     framing = "Transfer-Encoding: chunked" if length is None else f"Content-Length: {length}"
     return (
         f"POST {target} HTTP/1.1\r\nHost: b\r\nX-Txn: {txn}-{id(client)}\r\nX-Remaining: 9.0\r\n"
@@ -67,7 +67,7 @@
     ).encode()
 
 
-async def answer_of(reader: Reader) -> tuple[bytes, bytes]:
+async def read_answer(reader: Reader) -> tuple[bytes, bytes]:
     head = await reader.readuntil(b"\r\n\r\n")
     return head, await read_body(reader, head)
 
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("piece", [1_000, 300_000])
-def test_a_long_body_reaches_the_upstream_unchanged(chunked: bool, piece: int) -> None:
+def test_long_body_is_forwarded_unchanged(chunked: bool, piece: int) -> None:
     got: list[bytes] = []
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -85,36 +85,36 @@
         writer.write(OK)
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
-            for turn in range(2):  # the connections are of use again behind it
-                client.writer.write(head_of(client, None if chunked else len(PATTERN), txn=f"t{turn}"))
+            for turn in range(2):  # both connections are reused
+                client.writer.write(upload_head(client, None if chunked else len(PATTERN), txn=f"t{turn}"))
                 for i in range(0, len(PATTERN), piece):
                     data = PATTERN[i : i + piece]
                     client.writer.write(b"%x\r\n%b\r\n" % (len(data), data) if chunked else data)
                     await client.writer.drain()
                 if chunked:
                     client.writer.write(b"0\r\n\r\n")
-                assert (await answer_of(client.reader))[1] == b"ok"
+                assert (await read_answer(client.reader))[1] == b"ok"
             assert got == [PATTERN, PATTERN]
 
     run(test())
 
 
-def test_an_upstream_is_told_the_callers_time_while_the_body_is_still_coming() -> None:
-    # Its attempt is unbounded until the last byte, and the header said so: "X-Remaining: inf".
+def test_upstream_gets_clients_wait_while_body_is_unfinished() -> None:
+    # The attempt has no time-out until the last byte has arrived, and the header used to say "X-Remaining: inf".
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         await read_body(reader, head)
         writer.write(OK)
 
     async def test() -> None:
-        upstream = Taker(script)
+        upstream = StreamingUpstream(script)
         async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, 3 * LONG) + bytes(2 * LONG))
+            client.writer.write(upload_head(client, 3 * LONG) + bytes(2 * LONG))
             await until(lambda: len(upstream.heads) == 1)
             client.writer.write(bytes(LONG))
-            assert (await answer_of(client.reader))[1] == b"ok"
+            assert (await read_answer(client.reader))[1] == b"ok"
             told = upstream.heads[0].partition(b"X-Remaining: ")[2].partition(b"\r\n")[0]
             assert float(told) == 9.0
 
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_answer_reaches_the_caller_unchanged(chunked: bool) -> None:
+def test_long_answer_is_forwarded_unchanged(chunked: bool) -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         if chunked:
             writer.write(b"HTTP/1.1 200 OK\r\nX-Found: 1\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -137,18 +137,18 @@
         await writer.drain()
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             for _ in range(3):
                 client.send()
-                head, body = await answer_of(client.reader)
+                head, body = await read_answer(client.reader)
                 assert body == PATTERN and b"X-Found: 1" in head
             await until(lambda: b.node.engine.is_idle())
 
     run(test())
 
 
-def test_the_first_bytes_of_a_long_answer_do_not_wait_for_the_last() -> None:
+def test_long_answer_is_streamed_as_it_arrives() -> None:
     go_on = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -157,7 +157,7 @@
         writer.write(b"b" * (2 * LONG - 10))
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             client.send()
             await client.reader.readuntil(b"\r\n\r\n")
@@ -168,7 +168,7 @@
     run(test())
 
 
-def test_an_answer_of_untold_length_that_takes_its_time_goes_on_before_it_is_long() -> None:
+def test_slow_answer_of_unknown_length_is_streamed_before_it_is_long() -> None:
     go_on = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -177,7 +177,7 @@
         writer.write(b"2\r\nde\r\n0\r\n\r\n")
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             client.send()
             assert b"chunked" in await client.reader.readuntil(b"\r\n\r\n")
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("framing", [b"Content-Length: 1000000", b"Transfer-Encoding: chunked"])
-def test_a_long_answer_that_is_cut_short_is_seen_to_be(framing: bytes) -> None:
+def test_truncated_long_answer_is_visible_to_client(framing: bytes) -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n%b\r\n\r\n" % framing)
         writer.write(b"x" * 200_000 if b"Length" in framing else b"30d40\r\n" + b"x" * 200_000 + b"\r\n")
@@ -197,28 +197,28 @@
         writer.close()
 
     async def test() -> None:
-        taker = Taker(script)
-        async with balancer(taker) as b:
+        upstream = StreamingUpstream(script)
+        async with balancer(upstream) as b:
             client = await b.connect()
             client.send()
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
-                await answer_of(client.reader)
-            assert len(taker.heads) == 1  # and nothing was sent again
+                await read_answer(client.reader)
+            assert len(upstream.heads) == 1  # nothing was sent again
             await until(lambda: b.node.engine.is_idle())
 
     run(test())
 
 
-def test_an_upstream_that_breaks_under_a_long_body_means_a_refusal_and_no_second_send() -> None:
+def test_upstream_failure_during_long_body_is_refused_and_not_resent() -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         await reader.readexactly(200_000)
         writer.transport.abort()
 
     async def test() -> None:
-        first, second = Taker(script), Taker(script)
+        first, second = StreamingUpstream(script), StreamingUpstream(script)
         async with balancer(first, second) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, 4 * MB) + b"x" * 500_000)
+            client.writer.write(upload_head(client, 4 * MB) + b"x" * 500_000)
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in head
             assert len(first.heads) + len(second.heads) == 1
@@ -227,24 +227,24 @@
     run(test())
 
 
-def test_a_long_body_goes_elsewhere_where_the_first_upstream_is_not_there() -> None:
+def test_long_body_goes_to_another_upstream_if_the_first_is_unreachable() -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         assert await read_body(reader, head) == b"x" * MB
         writer.write(OK)
 
     async def test() -> None:
-        good, bad = Taker(script), Taker(script)
+        good, bad = StreamingUpstream(script), StreamingUpstream(script)
         async with balancer(good, bad) as b:
             bad.stop()
             for turn in range(6):
                 client = await b.connect()
-                client.writer.write(head_of(client, MB, txn=f"t{turn}") + b"x" * MB)
-                assert (await answer_of(client.reader))[1] == b"ok"
+                client.writer.write(upload_head(client, MB, txn=f"t{turn}") + b"x" * MB)
+                assert (await read_answer(client.reader))[1] == b"ok"
 
     run(test())
 
 
-def test_a_slow_upstream_holds_its_caller_and_a_slow_caller_its_upstream() -> None:
+def test_backpressure_works_in_both_directions() -> None:
     go_on = asyncio.Event()
     sent = 0
 
@@ -261,10 +261,10 @@
             sent += 64 * 1024
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             client.writer.transport.set_write_buffer_limits(high=64 * 1024)
-            client.writer.write(head_of(client, 32 * MB))
+            client.writer.write(upload_head(client, 32 * MB))
             (caller,) = b.node.server.connections
             count = 0
             while not caller._paused:
@@ -288,31 +288,31 @@
     run(test())
 
 
-def test_bodies_beyond_the_bound_are_refused_whether_told_or_found() -> None:
+def test_body_above_the_limit_is_refused_by_length_or_by_bytes() -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         await read_body(reader, head)
         writer.write(OK)
 
     async def test() -> None:
-        taker = Taker(script)
-        async with balancer(taker) as b:
+        upstream = StreamingUpstream(script)
+        async with balancer(upstream) as b:
             told = await b.connect()
-            told.writer.write(head_of(told, MAX_LONG + 1))
+            told.writer.write(upload_head(told, MAX_LONG + 1))
             assert (await told.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
             found = await b.connect()
-            found.writer.write(head_of(found, None))
+            found.writer.write(upload_head(found, None))
             chunk = b"%x\r\n%b\r\n" % (MB, b"x" * MB)
             for _ in range(MAX_LONG // MB + 1):
                 found.writer.write(chunk)
                 await found.writer.drain()
             assert (await found.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
             await until(lambda: b.node.engine.is_idle())
-            assert len(taker.heads) == 1  # only the one that had begun, and it was never whole
+            assert len(upstream.heads) == 1  # only the request that had begun, and that was never complete
 
     run(test())
 
 
-def test_a_body_that_stops_coming_is_told_so_and_frees_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stalled_body_gets_408_and_frees_its_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "BODY_GRACE_S", 0.2)
     ended = asyncio.Event()
 
@@ -323,9 +323,9 @@
             ended.set()
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, MB) + b"x" * (LONG + 1))
+            client.writer.write(upload_head(client, MB) + b"x" * (LONG + 1))
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 408 ")
             await ended.wait()
             await until(lambda: b.node.engine.is_idle())
@@ -334,8 +334,8 @@
 
 
 @pytest.mark.parametrize("after", ["head", "answer"])
-def test_a_caller_that_goes_ends_the_attempt(monkeypatch: pytest.MonkeyPatch, after: str) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 1e9)  # nobody else ends it
+def test_client_disconnect_ends_the_attempt(monkeypatch: pytest.MonkeyPatch, after: str) -> None:
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 1e9)  # nothing else ends the attempt
     ended = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -347,14 +347,14 @@
             ended.set()
 
     async def test() -> None:
-        taker = Taker(script)
-        async with balancer(taker) as b:
+        upstream = StreamingUpstream(script)
+        async with balancer(upstream) as b:
             client = await b.connect()
-            client.writer.write(head_of(client, MB) + b"x" * (MB if after == "answer" else 200_000))
+            client.writer.write(upload_head(client, MB) + b"x" * (MB if after == "answer" else 200_000))
             if after == "answer":
                 await client.reader.readuntil(b"\r\n\r\n")
             else:
-                await until(lambda: bool(taker.heads))
+                await until(lambda: bool(upstream.heads))
             client.writer.transport.abort()
             await ended.wait()
             await until(lambda: b.node.engine.is_idle())
@@ -362,27 +362,27 @@
     run(test())
 
 
-def test_a_request_behind_a_long_one_is_answered_next() -> None:
+def test_requests_pipelined_with_long_bodies_are_answered_in_order() -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         body = await read_body(reader, head) if head.startswith(b"POST") else b""
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\n%07d" % len(body))
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             client.send("/read")
-            client.writer.write(head_of(client, MB) + b"x" * MB)
+            client.writer.write(upload_head(client, MB) + b"x" * MB)
             client.send("/read")
             client.writer.write(
-                head_of(client, None, txn="u") + b"20000\r\n" + b"x" * 0x20000 + b"\r\n0\r\n\r\n"
+                upload_head(client, None, txn="u") + b"20000\r\n" + b"x" * 0x20000 + b"\r\n0\r\n\r\n"
             )
-            sizes = [int((await answer_of(client.reader))[1]) for _ in range(4)]
+            sizes = [int((await read_answer(client.reader))[1]) for _ in range(4)]
             assert sizes == [0, MB, 0, 0x20000]
 
     run(test())
 
 
-def test_an_answer_of_untold_length_to_a_caller_of_http_1_0_ends_with_the_connection() -> None:
+def test_answer_of_unknown_length_to_http_1_0_client_ends_with_the_connection() -> None:
     cut = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -396,7 +396,7 @@
             writer.write(b"0\r\n\r\n")
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             raw = b"GET /read HTTP/1.0\r\nX-Txn: %b\r\nX-Remaining: 9.0\r\n\r\n"
             client = await b.connect()
             client.writer.write(raw % b"a")
@@ -407,19 +407,20 @@
             with socket.create_connection(("127.0.0.1", b.node.server.port)) as plain:
                 plain.setblocking(False)
                 await loop.sock_sendall(plain, raw % b"b")
-                with pytest.raises(ConnectionResetError):  # nothing else would tell it from a whole one
+                # Only a reset tells an incomplete body from a complete one.
+                with pytest.raises(ConnectionResetError):
                     while await loop.sock_recv(plain, 65536):
                         pass
 
     run(test())
 
 
-def test_a_question_of_health_with_a_long_body_is_refused_and_kept_nowhere() -> None:
+def test_health_probe_with_long_body_is_refused() -> None:
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
         raise AssertionError("nothing of it goes on")
 
     async def test() -> None:
-        async with balancer(Taker(script)) as b:
+        async with balancer(StreamingUpstream(script)) as b:
             client = await b.connect()
             client.writer.write(b"GET /health/ready HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % MB + b"x" * MB)
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
@@ -427,7 +428,7 @@
     run(test())
 
 
-def test_a_long_body_under_the_id_of_an_open_request_is_refused_and_read_away() -> None:
+def test_long_body_with_id_of_an_open_request_is_refused_and_discarded() -> None:
     go_on = asyncio.Event()
 
     async def script(reader: Reader, writer: Writer, head: bytes) -> None:
@@ -436,40 +437,40 @@
         writer.write(OK)
 
     async def test() -> None:
-        taker = Taker(script)
-        async with balancer(taker) as b:
+        upstream = StreamingUpstream(script)
+        async with balancer(upstream) as b:
             first, second = await b.connect(), await b.connect()
-            raw = head_of(first, MB)
+            raw = upload_head(first, MB)
             first.writer.write(raw + b"x" * MB)
-            await until(lambda: len(taker.heads) == 1)
+            await until(lambda: len(upstream.heads) == 1)
             second.writer.write(raw + b"x" * MB)
             assert (await second.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 409 ")
-            await second.writer.drain()  # what still came was taken, not left in the way of the answer
+            await second.writer.drain()  # the rest of the body was read, so that it does not block the answer
             go_on.set()
-            assert (await answer_of(first.reader))[1] == b"ok"
-            assert len(taker.heads) == 1
+            assert (await read_answer(first.reader))[1] == b"ok"
+            assert len(upstream.heads) == 1
 
     run(test())
 
 
-class Held:
+class HoldRecorder:
     def __init__(self) -> None:
-        self.said: list[bool] = []
+        self.calls: list[bool] = []
 
     def __call__(self, on: bool) -> None:
-        self.said.append(on)
+        self.calls.append(on)
 
 
-def test_an_upload_is_held_while_nobody_takes_it_and_spent_once_somebody_has() -> None:
-    held, spent = Held(), list[bool]()
+def test_upload_is_paused_while_buffered_and_spent_once_read() -> None:
+    held, spent = HoldRecorder(), list[bool]()
     upload = Upload(None, held)
     upload.on_spent = lambda: spent.append(True)
     for _ in range(AHEAD // 1_000 + 1):
         upload.feed(b"x" * 1_000)
-    assert held.said == [True] and not spent
+    assert held.calls == [True] and not spent
     while upload.take() is not None:
         pass
-    assert held.said == [True, False] and spent == [True]
+    assert held.calls == [True, False] and spent == [True]
     upload.feed(b"x" * AHEAD)
     upload.drop()
-    assert held.said == [True, False, True, False] and upload.is_empty()
+    assert held.calls == [True, False, True, False] and upload.is_empty()
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -1,4 +1,4 @@
-"""Long answers that come slowly, on the virtual clock: which are passed on to their end, and when one is given up."""
+"""Long answers that arrive slowly, on the simulated clock: which are streamed to their end, and when one is cut."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.loopback import config_data, member
 from tests.virtual import run_simulated
 
-Piece = tuple[float, bytes]  # seconds after the one before
+Piece = tuple[float, bytes]  # seconds after the piece before, and its bytes
 
 
-class Giver(asyncio.Protocol):
-    """An upstream that gives its answer piece by piece, and says nothing more."""
+class SlowUpstream(asyncio.Protocol):
+    """An upstream that sends its answer piece by piece and then stays silent."""
 
     def __init__(self, pieces: list[Piece], loop: SimLoop) -> None:
         self.pieces, self.loop = pieces, loop
@@ -29,16 +29,16 @@
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.loop.create_task(self.give())
+        self.loop.create_task(self.send_pieces())
 
-    async def give(self) -> None:
+    async def send_pieces(self) -> None:
         for after, piece in self.pieces:
             await asyncio.sleep(after)
             self.transport.write(piece)
 
 
-class Caller(asyncio.Protocol):
-    """Reads what it is given, and notes when it came to an end."""
+class RecordingClient(asyncio.Protocol):
+    """A client that collects the answer and notes when the connection ended."""
 
     def __init__(self, loop: SimLoop) -> None:
         self.loop, self.data, self.ended = loop, bytearray(), asyncio.Event()
@@ -51,27 +51,29 @@
         self.data += data
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.at = self.loop.time()
+        self.ended_at = self.loop.time()
         self.ended.set()
 
 
-def played(pieces: list[Piece], whole: int | None) -> tuple[bytes, float]:
-    """The body that a caller with 0.5 s gets, and when: whole, or cut after so many seconds."""
+def answer_with_pieces(pieces: list[Piece], whole: int | None) -> tuple[bytes, float]:
+    """The body that a client with a deadline of 0.5 s gets, and the seconds until it was complete or cut."""
     got: list[tuple[bytes, float]] = []
 
     async def main(loop: SimLoop, net: Network) -> None:
-        loop.spawn("upstream", lambda: listen(SimHost(net), ("10.0.0.9", 1), lambda: Giver(pieces, loop)))
+        loop.spawn(
+            "upstream", lambda: listen(SimHost(net), ("10.0.0.9", 1), lambda: SlowUpstream(pieces, loop))
+        )
         data = config_data([member("s0", "10.0.0.9:1")])
         data["listen"] = "10.0.0.1:7070"
         node = Node(config.read(data), SimHost(net))
-        _, caller = await net.connect(lambda: Caller(loop), "10.0.0.1", 7070)
+        _, client = await net.connect(lambda: RecordingClient(loop), "10.0.0.1", 7070)
         began = loop.time()
-        while not caller.ended.is_set():
-            body = bytes(caller.data).partition(b"\r\n\r\n")[2]
+        while not client.ended.is_set():
+            body = bytes(client.data).partition(b"\r\n\r\n")[2]
             if whole is not None and len(body) >= whole:
                 break
             await asyncio.sleep(0.01)
-        got.append((bytes(caller.data).partition(b"\r\n\r\n")[2], loop.time() - began))
+        got.append((bytes(client.data).partition(b"\r\n\r\n")[2], loop.time() - began))
         node.discovery.stop()
         node.upstreams.stop()
 
@@ -84,20 +86,21 @@
 
 
 @pytest.mark.parametrize("pause", [0.2, 1.9])
-def test_a_long_answer_is_not_cut_while_it_is_still_given(pause: float) -> None:
-    # A byte a step is far less than any rate: by time for bytes alone it was cut 1.6 s after its request's time.
+def test_long_answer_is_not_cut_while_it_progresses(pause: float) -> None:
+    # One byte per step is below any minimum rate: with a time allowance by bytes alone, such an answer was cut 1.6 s
+    # after its request's deadline.
     body = [(0.1, bytes(LONG + 1)), *[(pause, b"x")] * 20]
     size = LONG + 1 + 20
-    got, took = played([head(size), *body], size)
+    got, took = answer_with_pieces([head(size), *body], size)
     assert got == bytes(LONG + 1) + b"x" * 20 and took >= 20 * pause
 
 
-def test_a_long_answer_that_stands_still_is_cut_once_nobody_may_wait_for_more() -> None:
-    # Time for its bytes alone would have let its caller wait for 100 s, or until a sweep found it after 10 s.
-    got, took = played([head(5_000_000), (0.1, bytes(4_000_000)), (1.0, b"x")], None)
+def test_stalled_long_answer_is_cut_after_the_longest_pause() -> None:
+    # With an allowance by bytes alone the client would have waited for 100 s, or for the stall time-out of 10 s.
+    got, took = answer_with_pieces([head(5_000_000), (0.1, bytes(4_000_000)), (1.0, b"x")], None)
     assert len(got) == 4_000_001 and 3.0 <= took <= 4.0
 
 
-def test_an_answer_that_may_still_be_short_ends_in_its_requests_time() -> None:
-    got, took = played([head(LONG + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None)
+def test_answer_that_may_still_be_short_ends_at_its_requests_deadline() -> None:
+    got, took = answer_with_pieces([head(LONG + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None)
     assert 0 < len(got) < 20 and 0.5 <= took <= 0.6
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,14 +1,11 @@
-"""A balancer that is told to stop more than once, or given orders while it stops.
-
-What happens. A second stop during a drain begins the drain anew: callers are kept, and requests taken, past the
-moment of the kill. In the simulator, `passpost explore rehearsals/balancer-restarts.toml --seeds 60 --first 5000
---faults 6`, seed 5024: b1 gets SIGTERM at 0.81 s and at 3.0 s, "b1 did not end in time: killed", and a request
-is "closed with no whole answer". An operator's call to empty the balancer moves the end of a drain in the same way, and
-the call back to work takes it away: the process then serves until it is killed.
-
-Why. `Server.drain` took each call for a first one and counted its time anew. The program's own handlers set an event
-and stop once, so that only the simulator reached the second stop; a stop that has begun is now waited for. An order to
-empty set the end of the drain without asking whether one had begun; it is now one that is carried out already.
+"""Shutdowns that are requested twice, and operators' orders during a shutdown, do not move its end.
+
+`Server.drain` used to start anew on each call, so that connections were kept and requests taken past the kill. Only the
+simulator called it twice, as the program's signal handlers stop once: `passpost explore
+rehearsals/balancer-restarts.toml --seeds 60 --first 5000 --faults 6`, seed 5024, sends b1 SIGTERM at 0.81 s and at
+3.0 s; "b1 did not end in time: killed", and a request is "closed with no whole answer". A second stop now waits for the
+first. An operator's order to empty the balancer moved the end of a drain in the same way, and the order back to work
+removed it, so that the process served until it was killed. During a drain an order to empty now has no effect.
 """
 
 from __future__ import annotations
@@ -28,11 +25,11 @@
 
 
 @pytest.mark.parametrize("seed", [5024, 10051, 20051, 30034])
-def test_a_simulated_balancer_that_gets_sigterm_twice_loses_no_request(seed: int) -> None:
+def test_two_sigterms_lose_no_request_in_simulation(seed: int) -> None:
     assert try_seed(load(str(RESTARTS)), seed, MOST_FAULTS) == ""
 
 
-def test_a_second_stop_does_not_move_the_end_of_the_first() -> None:
+def test_second_stop_does_not_move_the_end_of_the_first() -> None:
     async def test() -> None:
         async with balancer(FakeServer()) as one:
             client = await one.connect()
@@ -50,7 +47,7 @@
 
 
 @pytest.mark.parametrize("orders", [["on"], ["on", "off"], ["off"]], ids=["empty", "empty, work", "work"])
-def test_operators_orders_do_not_move_the_end_of_a_drain(tmp_path: Path, orders: list[str]) -> None:
+def test_operator_orders_do_not_move_the_end_of_a_drain(tmp_path: Path, orders: list[str]) -> None:
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (one, node):
             client = await one.connect()
@@ -68,7 +65,7 @@
     run(test())
 
 
-def test_a_call_back_to_work_is_refused_while_the_balancer_ends(tmp_path: Path) -> None:
+def test_order_back_to_work_is_refused_during_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (_, node):
             stopped = asyncio.create_task(node.stop())
--- a/tests/workers/test_last_worker.py
+++ b/tests/workers/test_last_worker.py
@@ -1,11 +1,10 @@
-"""New connections while the last worker ends: each is refused, or its request is answered.
+"""A connection that arrives while the last worker ends is refused, or its request is answered.
 
-What happens. Seed 3012 of the soak (`python benchmarks/restarts.py --seeds 1 --first 3012`, two workers): request
-t340 goes out on a new connection at 6.830 s, in the end of a drain, and is "closed with no whole answer" at 6.907 s.
-
-Why. A listening socket lives as long as one descriptor of it. Workers accept by a copy of the descriptor that their
-parent passed, and kept the passed one until they had gone; the parent kept its own until then too. So connections
-came up after the last worker had emptied the queue and closed its copy, and were reset with the parent's end.
+A listening socket lives as long as any descriptor of it. Workers accept on a copy of the descriptor that the supervisor
+passed; they kept the passed one until their end, and the supervisor kept its own. Connections that came up after the
+last worker had emptied the queue and closed its copy were therefore reset when the supervisor ended. Seed 3012 of the
+soak (`python benchmarks/restarts.py --seeds 1 --first 3012`, two workers) showed it: request t340 was sent on a new
+connection at 6.830 s, at the end of a drain, and was "closed with no whole answer" at 6.907 s.
 """
 
 from __future__ import annotations
@@ -20,39 +19,39 @@
 
 from tests.cli.test_clients import serving
 from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
-from tests.workers.test_run import TEXT
+from tests.workers.test_run import CONFIG_TEXT
 
 REQUEST = b"GET /views/1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-BETWEEN_S = 0.005
+CONNECT_INTERVAL_S = 0.005
 
 
-def unanswered(port: int, process: subprocess.Popen[str]) -> int:
-    """How many connections came up and got no whole answer, until the process has gone."""
+def count_unanswered(port: int, process: subprocess.Popen[str]) -> int:
+    """The number of connections that came up and got no complete answer, until the process has ended."""
     ends, count = time.monotonic() + PATIENCE, 0
     while process.poll() is None:
         assert time.monotonic() < ends, "it does not end"
         try:
             client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
         except OSError:
-            continue  # refused: nothing was taken
+            continue  # refused, so no request was accepted
         with client:
             try:
                 client.sendall(REQUEST)
                 count += not client.recv(65536).startswith(b"HTTP/1.1 ")
             except OSError:
                 count += 1
-        time.sleep(BETWEEN_S)
+        time.sleep(CONNECT_INTERVAL_S)
     return count
 
 
 @pytest.mark.parametrize("workers", ["1", "2", "3"])
-def test_what_comes_while_the_last_worker_ends_is_answered_or_refused(tmp_path: Path, workers: str) -> None:
+def test_connection_during_end_of_last_worker_is_answered_or_refused(tmp_path: Path, workers: str) -> None:
     with serving() as server:
         path, port = tmp_path / "passpost.toml", free_port()
-        path.write_text(TEXT.format(port=port, server=server).replace("8000", "300"))
+        path.write_text(CONFIG_TEXT.format(port=port, server=server).replace("8000", "300"))
         with running(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
             until_ready(port, process)
             process.send_signal(signal.SIGTERM)
-            lost = unanswered(port, process)
+            lost = count_unanswered(port, process)
             assert process.wait() == 0
     assert lost == 0
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -21,7 +21,7 @@
 from tests.cli.test_operator import PATIENCE, free_port, get, running, until_ready
 from tests.operator.files import GOOD
 
-TEXT = """\
+CONFIG_TEXT = """\
 version = 1
 [limits]
 descriptors = 512
@@ -38,8 +38,8 @@
 """
 
 
-class Log:
-    """What the supervisor writes, as it writes it."""
+class SupervisorLog:
+    """Collects the supervisor's log output as it is written."""
 
     def __init__(self, process: subprocess.Popen[str]) -> None:
         self.text, self._process = "", process
@@ -58,17 +58,17 @@
         raise AssertionError(self.text)
 
     def serves(self, worker: int) -> list[int]:
-        """The processes that have served as this worker, in order."""
+        """The ids of the processes that have served as this worker, in order."""
         return [int(p) for p in re.findall(rf"worker {worker} serves, process (\d+)", self.text)]
 
 
 @contextmanager
-def two(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[str], Log, Path, int]]:
+def two_workers(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[str], SupervisorLog, Path, int]]:
     with serving() as server:
         path, port = tmp_path / "f.toml", free_port()
-        path.write_text(TEXT.format(port=port, server=server))
+        path.write_text(CONFIG_TEXT.format(port=port, server=server))
         with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
-            log = Log(process)
+            log = SupervisorLog(process)
             log.until(lambda _: bool(log.serves(1) and log.serves(2)))
             until_ready(port, process)
             yield process, log, path, port
@@ -78,8 +78,8 @@
     return get(port, "/views/1")[0]
 
 
-def test_a_worker_that_dies_is_replaced_and_the_other_serves_on(tmp_path: Path) -> None:
-    with two(tmp_path) as (process, log, _, port):
+def test_crashed_worker_is_replaced_while_the_other_serves(tmp_path: Path) -> None:
+    with two_workers(tmp_path) as (process, log, _, port):
         assert {ask(port) for _ in range(10)} == {200}
         os.kill(log.serves(1)[0], signal.SIGKILL)
         assert {ask(port) for _ in range(10)} == {200}
@@ -89,8 +89,8 @@
         assert process.wait(PATIENCE) == 0
 
 
-def test_a_change_of_classes_reaches_both_and_one_of_limits_renews_them(tmp_path: Path) -> None:
-    with two(tmp_path) as (process, log, path, port):
+def test_changed_classes_are_reloaded_and_changed_limits_renew_workers(tmp_path: Path) -> None:
+    with two_workers(tmp_path) as (process, log, path, port):
         before = path.read_text()
         path.write_text(before.replace("/views/**", "/stills/**"))
         process.send_signal(signal.SIGHUP)
@@ -98,19 +98,19 @@
         assert {get(port, "/stills/1")[0] for _ in range(20)} == {200} and ask(port) == 404
         path.write_text(before.replace("descriptors = 512", "descriptors = 600"))
         process.send_signal(signal.SIGHUP)
-        answers, gives_up = [], time.monotonic() + PATIENCE
+        answers, give_up_at = [], time.monotonic() + PATIENCE
         while len(log.serves(1)) < 2 or len(log.serves(2)) < 2:
             answers.append(get(port, "/health/ready")[0])
-            assert process.poll() is None and time.monotonic() < gives_up
+            assert process.poll() is None and time.monotonic() < give_up_at
         assert "workers are renewed in turn" in log.text
-        assert set(answers) <= {200, 503}  # a draining worker says that it is not ready; none is cut off
+        assert set(answers) <= {200, 503}  # a draining worker answers 503; no connection is cut
         assert {ask(port) for _ in range(20)} == {200}
         process.send_signal(signal.SIGTERM)
         assert process.wait(PATIENCE) == 0
 
 
-def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
-    with two(tmp_path) as (process, log, path, port):
+def test_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    with two_workers(tmp_path) as (process, log, path, port):
         path.write_text(path.read_text().replace("descriptors = 512", "descriptors = 90"))
         process.send_signal(signal.SIGHUP)
         log.until(lambda text: "the old configuration stays: limits.descriptors: 90 are too few" in text)
@@ -119,8 +119,8 @@
         assert process.wait(PATIENCE) == 0
 
 
-def test_workers_end_when_their_parent_is_killed(tmp_path: Path) -> None:
-    with two(tmp_path) as (process, log, _, _port):
+def test_workers_end_when_the_supervisor_is_killed(tmp_path: Path) -> None:
+    with two_workers(tmp_path) as (process, log, _, _port):
         workers = [log.serves(1)[0], log.serves(2)[0]]
         process.kill()
         process.wait(PATIENCE)
@@ -128,11 +128,11 @@
             if not any(Path(f"/proc/{w}").exists() for w in workers):
                 return
             time.sleep(0.02)
-        raise AssertionError("a worker is left")
+        raise AssertionError("a worker is still running")
 
 
-def test_a_taken_port_ends_with_one_line(tmp_path: Path) -> None:
-    with two(tmp_path) as (_process, _log, path, _port):
+def test_port_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
+    with two_workers(tmp_path) as (_process, _log, path, _port):
         with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
             _, text = second.communicate(timeout=PATIENCE)
         assert second.returncode == 1 and "Address already in use" in text and "Traceback" not in text
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 4])
-def test_a_worker_s_part_of_a_file(count: int) -> None:
+def test_worker_share_of_a_file(count: int) -> None:
     whole, part = file(), worker_share(file(), count)
     assert part.limits.descriptors * count <= whole.limits.descriptors
     assert part.limits.connections * count <= 0.55 * whole.limits.descriptors
@@ -154,6 +154,6 @@
     assert [a.classes for a in part.applications] == [a.classes for a in whole.applications]
 
 
-def test_limits_that_can_not_be_divided_are_refused() -> None:
+def test_limits_too_small_to_divide_are_refused() -> None:
     with pytest.raises(ValueError, match="1024 are too few for 64 workers"):
         worker_share(file(), 64)
