--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -17,7 +17,7 @@
 from passpost.host import Host
 from passpost.http1 import MAX_HEAD, Answer, Headers, end_to_end, write_headers
 from passpost.streams import Sink, Source, Upload
-from passpost.upstreams.attempt import Outgoing
+from passpost.upstreams.attempt import OutgoingRequest
 from passpost.validation import BadRequestError, Call, Check
 
 log = logging.getLogger(__name__)
@@ -407,7 +407,7 @@
         passed_on = write_headers(call.passed_on)
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, passed_on, framing)
         is_head = call.method == b"HEAD"
-        outgoing = Outgoing(
+        outgoing = OutgoingRequest(
             head, request.body, call.deadline_header, is_head, idle_s=call.idle_s, longest=remaining
         )
         if upload is not None:
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -15,7 +15,7 @@
 from passpost.host import HOST, Host
 from passpost.http1 import Address, Answer
 from passpost.streams import Sink, Source
-from passpost.upstreams.attempt import Attempt, Outgoing
+from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.pool import Upstreams
 from umberworks import interface
 from umberworks.interface import Outcome
@@ -46,7 +46,7 @@
 class _Open:
     """A request that the module has not heard the end of."""
 
-    def __init__(self, caller: Caller, outgoing: Outgoing) -> None:
+    def __init__(self, caller: Caller, outgoing: OutgoingRequest) -> None:
         self.caller, self.outgoing = caller, outgoing
         self.guard: asyncio.TimerHandle | None = None
         self.due = 0.0  # when that runs out, by the loop's clock
@@ -133,7 +133,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -10,7 +10,7 @@
 from passpost.http1 import Answer
 from passpost.ops.tally import Counts, Tally
 from passpost.streams import Sink, Source
-from passpost.upstreams.attempt import Outgoing
+from passpost.upstreams.attempt import OutgoingRequest
 
 
 class _Counted:
@@ -82,7 +82,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -10,7 +10,7 @@
 from passpost.http1 import Answer
 from passpost.ops.counting import CountingEngine
 from passpost.trace.model import End, Entry, Try, write
-from passpost.upstreams.attempt import Outgoing
+from passpost.upstreams.attempt import OutgoingRequest
 from umberworks import interface
 from umberworks.interface import Outcome
 
@@ -44,7 +44,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
--- a/passpost/upstreams/attempt.py
+++ b/passpost/upstreams/attempt.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Outgoing:
+class OutgoingRequest:
     """A request as it is sent, except for the remaining time, which is set when it is written."""
 
     head: bytes
@@ -60,7 +60,7 @@
     """One attempt. It ends exactly once, and `done` is called with its outcome."""
 
     def __init__(
-        self, request: Outgoing, timeout: float, done: Done, host: Host, may_go: Callable[[], bool]
+        self, request: OutgoingRequest, timeout: float, done: Done, host: Host, may_go: Callable[[], bool]
     ) -> None:
         loop = asyncio.get_running_loop()
         self.request, self.may_go = request, may_go
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -9,7 +9,7 @@
 
 from passpost.host import Host
 from passpost.http1 import Address, Answer, AnswerReader, BadAnswerError, TooLongError
-from passpost.upstreams.attempt import Attempt, Outgoing
+from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from umberworks.interface import Outcome
 
 log = logging.getLogger(__name__)
@@ -95,7 +95,7 @@
         if not self.unwritten and request.written is not None:
             request.written()
 
-    def _send_long(self, request: Outgoing, remaining: float) -> None:
+    def _send_long(self, request: OutgoingRequest, remaining: float) -> None:
         """Write the head, and the body as it arrives."""
         assert self._transport is not None and request.upload is not None
         self._last_chunk_buffered, self.unwritten, self.progress_at = (
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -9,7 +9,7 @@
 from passpost.host import HOST, Host
 from passpost.http1 import MAX_LONG, Address, Answer
 from passpost.streams import LONG
-from passpost.upstreams.attempt import Attempt, Done, Outgoing
+from passpost.upstreams.attempt import Attempt, Done, OutgoingRequest
 from passpost.upstreams.connection import Connection, Pool
 from umberworks.interface import Outcome
 
@@ -110,7 +110,7 @@
     def send(
         self,
         server: str,
-        request: Outgoing,
+        request: OutgoingRequest,
         timeout: float,
         done: Done,
         may_go: Callable[[], bool] = lambda: True,
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,13 +12,13 @@
 from passpost.http1 import Answer
 from passpost.listing import parse_address
 from passpost.upstreams import pool as upstream_pool
-from passpost.upstreams.attempt import Attempt, Outgoing
+from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.connection import Connection
 from passpost.upstreams.pool import Upstreams
 from tests.loopback import AWAY, OK, FakeServer, Got, Writer, balancer, run, silent, until
 from umberworks.interface import Outcome
 
-REQUEST = Outgoing(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
+REQUEST = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
 
 
 class AttemptRecorder:
@@ -28,7 +28,7 @@
         self.upstreams = upstreams
         self.outcomes: list[Outcome] = []
 
-    def send(self, server: str = "s0", request: Outgoing = REQUEST, timeout: float = 10.0) -> Attempt:
+    def send(self, server: str = "s0", request: OutgoingRequest = REQUEST, timeout: float = 10.0) -> Attempt:
         def done(outcome: Outcome, answer: Answer | None) -> None:
             assert (answer is not None) or outcome is not Outcome.SERVED
             self.outcomes.append(outcome)
@@ -134,7 +134,7 @@
             listener.setblocking(False)
             async with attempts_to() as c:
                 c.upstreams.route({"s0": listener.getsockname()})
-                attempt = c.send(request=Outgoing(REQUEST.head, b"x" * 64 * 1024 * 1024))
+                attempt = c.send(request=OutgoingRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
                 await until(lambda: attempt.connection is not None)
                 assert not attempt.is_written()
