--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -408,7 +408,7 @@
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, passed_on, framing)
         is_head = call.method == b"HEAD"
         outgoing = OutgoingRequest(
-            head, request.body, call.deadline_header, is_head, idle_s=call.idle_s, longest=remaining
+            head, request.body, call.deadline_header, is_head, idle_s=call.idle_s, max_wait_s=remaining
         )
         if upload is not None:
             outgoing.upload, self._body_since = upload, now
--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -209,7 +209,7 @@
             self.draining, self.closing = False, False
             self._deadline, self._new_connections_until = math.inf, math.inf
 
-    def limit(self, max_open: int) -> None:
+    def set_max_open(self, max_open: int) -> None:
         """Change the limit of open connections; those above it are evicted as new ones arrive."""
         self._max_open = max_open
 
--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -107,12 +107,12 @@
 
     def listed(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """News of the list; the addresses come first, as the module may send at once."""
-        self._upstreams.route(addresses)
+        self._upstreams.set_addresses(addresses)
         self._listed(update)
 
     def listed_part(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Changes of the list, with the addresses of those that have changed only."""
-        self._upstreams.reroute([m.server for m in update.members], addresses)
+        self._upstreams.update_addresses([m.server for m in update.members], addresses)
         self._listed(update)
 
     def _listed(self, update: interface.ListUpdate) -> None:
@@ -198,7 +198,7 @@
         request = self._requests.get(number)
         if request is not None and request.started is not None:
             loop = asyncio.get_running_loop()
-            if (over := request.started.over_at(request.due)) > loop.time():
+            if (over := request.started.answer_deadline(request.due)) > loop.time():
                 request.guard = loop.call_at(over, self._overdue, number)
                 return
             log.warning("request %d: its answer did not end in time", number)
--- a/passpost/node.py
+++ b/passpost/node.py
@@ -85,8 +85,8 @@
     def limit(self, share: float) -> None:
         """Hold so large a part of the descriptors at most."""
         callers, upstreams = shares(self._config.sockets)
-        self.server.limit(int(callers * share))
-        self.upstreams.limit(int(upstreams * share))
+        self.server.set_max_open(int(callers * share))
+        self.upstreams.set_max_open(int(upstreams * share))
 
     def within(self) -> float:
         """How long a planned restart leaves us after SIGTERM, in seconds."""
--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -88,7 +88,7 @@
     ) -> int:
         """As the engine's; the caller's answer and each attempt written whole are noted."""
         counts = self.tally.classes[class_name]
-        outgoing.written = partial(_written, counts)
+        outgoing.on_sent = partial(_written, counts)
         counted = _Counted(caller, counts, self.tally)
         return super().arrived(class_name, tenant, remaining, outgoing, counted, free_connections)
 
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -183,9 +183,9 @@
         self._told = self._store.bans
         for server in out:
             self.engine.told(Detached(server))
-            self.upstreams.let_go(server)
+            self.upstreams.close_idle(server)
         for server, at in back:
-            self.upstreams.let_go(server)  # what was kept to it may lead to a process that is no more
+            self.upstreams.close_idle(server)  # what was kept to it may lead to a process that is no more
             self.engine.told(Attached(server, at))
 
     def _excluded(self) -> int:
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -53,14 +53,14 @@
         txn = found[1].decode("latin-1") if found is not None else "-"
         number = self._count + 1
         self._traces[number] = _Trace(txn, class_name, self.now())
-        written = outgoing.written
+        written = outgoing.on_sent
 
         def note() -> None:
             if written is not None:
                 written()
             self._note_written(number)
 
-        outgoing.written = note
+        outgoing.on_sent = note
         return super().arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
     def _carry_out(self, action: interface.Action) -> None:
--- a/passpost/upstreams/attempt.py
+++ b/passpost/upstreams/attempt.py
@@ -16,8 +16,8 @@
 from passpost.streams import Reader, Sink, Source, Upload
 from umberworks.interface import Outcome
 
-Done = Callable[[Outcome, Answer | None], None]
-Begin = Callable[[Answer, "int | None", Source], "Sink | None"]
+DoneCallback = Callable[[Outcome, Answer | None], None]
+StartCallback = Callable[[Answer, "int | None", Source], "Sink | None"]
 
 
 @dataclass(slots=True)
@@ -28,10 +28,10 @@
     body: bytes
     deadline_header: bytes = b"X-Remaining"
     bodyless: bool = False  # the answer has no body, whatever its Content-Length says (HEAD)
-    written: Callable[[], None] | None = None  # called for each attempt whose last byte has been sent
+    on_sent: Callable[[], None] | None = None  # called for each attempt whose last byte has been sent
     upload: Upload | None = None  # a long body, in place of `body`
     idle_s: float = 0.0  # above 0: the answer is streamed from its head on, and may pause for this long
-    longest: float = math.inf  # the client's wait, in seconds from the last byte of the request
+    max_wait_s: float = math.inf  # the client's wait, in seconds from the last byte of the request
     # Asked before the last byte of a long body is sent, as the client may have left.
     is_wanted: Callable[[], bool] = lambda: True
 
@@ -40,16 +40,16 @@
 
         An attempt has no time-out while its body is still arriving; the header gives the client's wait instead.
         """
-        told = min(remaining, self.longest)
+        told = min(remaining, self.max_wait_s)
         return b"%b%b: %.3f\r\n\r\n%b" % (self.head, self.deadline_header, told, self.body)
 
 
-class Carrier(Reader, Protocol):
+class AttemptConnection(Reader, Protocol):
     """The connection that carries an attempt."""
 
     unwritten: bool  # part of the request has not been sent
 
-    def over_at(self, due: float) -> float:
+    def answer_deadline(self, due: float) -> float:
         """Until when an answer that has begun may go on if its request's time is up at `due`."""
 
     def drop(self) -> None:
@@ -60,19 +60,24 @@
     """One attempt. It ends exactly once, and `done` is called with its outcome."""
 
     def __init__(
-        self, request: OutgoingRequest, timeout: float, done: Done, host: Host, may_go: Callable[[], bool]
+        self,
+        request: OutgoingRequest,
+        timeout: float,
+        done: DoneCallback,
+        host: Host,
+        may_send: Callable[[], bool],
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.request, self.may_go = request, may_go
-        self.connection: Carrier | None = None
+        self.request, self.may_send = request, may_send
+        self.connection: AttemptConnection | None = None
         self.connecting: asyncio.Task[None] | None = None
         self._monotonic = host.monotonic
         self._deadline = host.monotonic() + timeout
         self._timer: asyncio.TimerHandle | None = None
         if timeout < math.inf:  # infinite while the request's body is still arriving
             self._timer = loop.call_later(timeout, self._timed_out)
-        self._done: Done | None = done
-        self.begin: Begin = lambda answer, length, source: None
+        self._done: DoneCallback | None = done
+        self.begin: StartCallback = lambda answer, length, source: None
         self.sink: Sink | None = None  # set once the answer is being streamed
 
     def limit(self, timeout: float) -> None:
@@ -90,9 +95,9 @@
         self.sink = self.begin(answer, length, source)
         return self.sink is not None
 
-    def over_at(self, due: float) -> float:
+    def answer_deadline(self, due: float) -> float:
         """Until when an answer that has begun may go on if its request's time is up at `due`."""
-        return self.connection.over_at(due) if self.connection is not None else due
+        return self.connection.answer_deadline(due) if self.connection is not None else due
 
     def remaining(self) -> float:
         """Time left until the time-out, in seconds."""
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -92,8 +92,8 @@
         self._last_chunk_buffered = False
         self.unwritten = False  # pause_writing is called at once if the transport cannot send all of it
         self._transport.write(request.write(attempt.remaining()))
-        if not self.unwritten and request.written is not None:
-            request.written()
+        if not self.unwritten and request.on_sent is not None:
+            request.on_sent()
 
     def _send_long(self, request: OutgoingRequest, remaining: float) -> None:
         """Write the head, and the body as it arrives."""
@@ -134,8 +134,8 @@
 
     def _report_written(self) -> None:
         self.unwritten = False
-        if self._attempt is not None and self._attempt.request.written is not None:
-            self._attempt.request.written()
+        if self._attempt is not None and self._attempt.request.on_sent is not None:
+            self._attempt.request.on_sent()
 
     def hold(self, on: bool) -> None:
         """Pause or resume reading, as the reader of the answer falls behind the upstream or has caught up."""
@@ -150,7 +150,7 @@
             else:
                 self._transport.resume_reading()
 
-    def over_at(self, due: float) -> float:
+    def answer_deadline(self, due: float) -> float:
         """Until when an answer that has begun may go on if its request's time is up at `due`, by the monotonic clock.
 
         A long answer may go on for as long as it makes progress, at any pace. One that may still be short gets extra
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -9,7 +9,7 @@
 from passpost.host import HOST, Host
 from passpost.http1 import MAX_LONG, Address, Answer
 from passpost.streams import LONG
-from passpost.upstreams.attempt import Attempt, Done, OutgoingRequest
+from passpost.upstreams.attempt import Attempt, DoneCallback, OutgoingRequest
 from passpost.upstreams.connection import Connection, Pool
 from umberworks.interface import Outcome
 
@@ -78,13 +78,13 @@
         """Close all idle connections and forget all upstreams."""
         if self._sweeper is not None:
             self._sweeper.cancel()
-        self.route({})
+        self.set_addresses({})
 
-    def route(self, addresses: dict[str, Address]) -> None:
+    def set_addresses(self, addresses: dict[str, Address]) -> None:
         """Replace all addresses; upstreams that left or moved lose their idle connections."""
-        self.reroute([*self._pools, *(n for n in addresses if n not in self._pools)], addresses)
+        self.update_addresses([*self._pools, *(n for n in addresses if n not in self._pools)], addresses)
 
-    def reroute(self, names: Iterable[str], addresses: dict[str, Address]) -> None:
+    def update_addresses(self, names: Iterable[str], addresses: dict[str, Address]) -> None:
         """Apply changes for these upstreams; one without an address has left."""
         for name in names:
             pool, address = self._pools.get(name), addresses.get(name)
@@ -95,13 +95,13 @@
             if address is not None and name not in self._pools:
                 self._pools[name] = Pool(name, address)
 
-    def let_go(self, server: str) -> None:
+    def close_idle(self, server: str) -> None:
         """Close the idle connections to one upstream."""
         if (pool := self._pools.get(server)) is not None:
             for connection in list(pool.idle):
                 connection.drop()
 
-    def limit(self, max_open: int) -> None:
+    def set_max_open(self, max_open: int) -> None:
         """Change the limit of open connections; the connections idle for longest are closed first."""
         self._max_open = max_open
         while self._open_count > max_open and self._make_room():
@@ -112,17 +112,17 @@
         server: str,
         request: OutgoingRequest,
         timeout: float,
-        done: Done,
-        may_go: Callable[[], bool] = lambda: True,
+        done: DoneCallback,
+        may_send: Callable[[], bool] = lambda: True,
     ) -> Attempt:
         """Make one attempt; `done` is called once with its outcome, later or before this returns.
 
-        `may_go` says whether the attempt may still be sent. It is asked now, and again once there is a connection;
+        `may_send` says whether the attempt may still be sent. It is asked now, and again once there is a connection;
         if it is false, the attempt ends as not sent.
         """
-        attempt = Attempt(request, timeout, done, self.host, may_go)
+        attempt = Attempt(request, timeout, done, self.host, may_send)
         pool = self._pools.get(server)
-        if pool is None or not may_go():
+        if pool is None or not may_send():
             attempt.end(Outcome.NOT_SENT)
             return attempt
         if (connection := self._take_idle(pool)) is not None:
@@ -189,7 +189,7 @@
         else:
             attempt.connecting = None
             is_there = self._pools.get(pool.name) is pool  # false if the upstream has left or moved
-            if not attempt.is_over() and is_there and attempt.may_go():
+            if not attempt.is_over() and is_there and attempt.may_send():
                 self._send_on(connection, attempt)
                 return
             connection.drop()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -409,7 +409,7 @@
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             assert await client.ask() is not None
-            b.node.server.limit(1)
+            b.node.server.set_max_open(1)
             set_reading(b, False)
             client.send()
             await wait_for_unread_bytes(b)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -50,7 +50,7 @@
         await server.start()
     upstreams = Upstreams(5.0, idle, max_open)
     upstreams.start()
-    upstreams.route({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
+    upstreams.set_addresses({f"s{i}": parse_address(s.host_port) for i, s in enumerate(servers)})
     try:
         yield AttemptRecorder(upstreams)
     finally:
@@ -120,7 +120,7 @@
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))  # bound, but not listening
             async with attempts_to() as c:
-                c.upstreams.route({"s0": unused.getsockname()})
+                c.upstreams.set_addresses({"s0": unused.getsockname()})
                 assert await c.outcome() is Outcome.UNREACHED
                 assert await c.outcome("unknown") is Outcome.NOT_SENT
 
@@ -133,7 +133,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             async with attempts_to() as c:
-                c.upstreams.route({"s0": listener.getsockname()})
+                c.upstreams.set_addresses({"s0": listener.getsockname()})
                 attempt = c.send(request=OutgoingRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
                 await until(lambda: attempt.connection is not None)
@@ -230,7 +230,7 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.setblocking(False)
             async with attempts_to() as c:
-                c.upstreams.route({"s0": listener.getsockname()})
+                c.upstreams.set_addresses({"s0": listener.getsockname()})
                 c.send()
                 peer, _ = await loop.sock_accept(listener)
                 with peer:
@@ -267,7 +267,7 @@
         old, new = FakeServer(), FakeServer()
         async with attempts_to(old, new) as c:
             await c.outcome("s0")
-            c.upstreams.route({"s0": parse_address(new.host_port)})
+            c.upstreams.set_addresses({"s0": parse_address(new.host_port)})
             await until(lambda: old.closed == 1)
             assert await c.outcome("s0") is Outcome.SERVED
             assert len(new.got) == 1
