--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -30,10 +30,10 @@
 CLOSING_PHASE_S = 1.2
 DRAIN_POLL_S = 0.02
 # Connections are kept this long after an order to empty, as clients may have no other balancer.
-EMPTY_KEEP_S = 1.5
+LAME_DUCK_KEEP_S = 1.5
 # Later requests are answered by this time: 4 s after the order no connection may be open.
-EMPTY_ANSWER_S = 3.7
-EMPTY_POLL_S = 0.1
+LAME_DUCK_ANSWER_S = 3.7
+LAME_DUCK_POLL_S = 0.1
 LATE_REQUEST_S = 0.2  # allowance for requests on connections that were accepted at the very end
 
 
@@ -68,7 +68,7 @@
         self.open_ids: dict[bytes, Connection] = {}
         self._accepting = False
         self.listener = self._socket = host.listen(address, BACKLOG)
-        self._empty_task: asyncio.Task[None] | None = None
+        self._lame_duck_task: asyncio.Task[None] | None = None
         self._stop_task: asyncio.Task[None] | None = None
         self._sweeper: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[object]] = set()
@@ -135,7 +135,7 @@
         await asyncio.shield(self._stop_task)
 
     async def _drain(self, within: float, closing_phase_s: float) -> None:
-        self.refill()
+        self.end_lame_duck()
         self.draining, self._deadline = True, self.monotonic() + within
         self._new_connections_until = self.monotonic() + NEW_CONNECTIONS_AFTER_STOP_S
         await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, within - LATE_REQUEST_S))
@@ -151,7 +151,7 @@
         await self._finish_requests()
 
     async def _hand_over(self, within: float, closing_phase_s: float) -> None:
-        self.refill()
+        self.end_lame_duck()
         self._deadline, self.closing = self.monotonic() + within, True
         self._pause()
         self._socket.close()
@@ -180,32 +180,32 @@
         within_allowance = self.time_left() > -LATE_REQUEST_S
         return any(c.owes_answer() or (within_allowance and c.has_unread()) for c in self.connections)
 
-    def empty(self) -> None:
+    def start_lame_duck(self) -> None:
         """Send clients elsewhere while the process keeps running: not ready at once, and soon no connection is kept.
 
         Does nothing in a shutdown, which does the same, and whose end must not move.
         """
-        if self._empty_task is None and not self.is_stopping():
+        if self._lame_duck_task is None and not self.is_stopping():
             now = self.monotonic()
             self.draining, self._new_connections_until = True, now + NEW_CONNECTIONS_AFTER_STOP_S
-            self._deadline = now + EMPTY_ANSWER_S
-            self._empty_task = asyncio.get_running_loop().create_task(self._empty())
+            self._deadline = now + LAME_DUCK_ANSWER_S
+            self._lame_duck_task = asyncio.get_running_loop().create_task(self._run_lame_duck())
 
-    async def _empty(self) -> None:
-        await asyncio.sleep(EMPTY_KEEP_S)
+    async def _run_lame_duck(self) -> None:
+        await asyncio.sleep(LAME_DUCK_KEEP_S)
         self.closing = True
         while True:
             if self.time_left() <= 0:
                 self._deadline = math.inf  # requests that arrive all the same have their full time
             for connection in list(self.connections):
                 connection.close_if_idle()
-            await asyncio.sleep(EMPTY_POLL_S)
+            await asyncio.sleep(LAME_DUCK_POLL_S)
 
-    def refill(self) -> None:
-        """Accept clients again after `empty`."""
-        if self._empty_task is not None:
-            self._empty_task.cancel()
-            self._empty_task = None
+    def end_lame_duck(self) -> None:
+        """Accept clients again after `start_lame_duck`."""
+        if self._lame_duck_task is not None:
+            self._lame_duck_task.cancel()
+            self._lame_duck_task = None
             self.draining, self.closing = False, False
             self._deadline, self._new_connections_until = math.inf, math.inf
 
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -158,9 +158,9 @@
             case SetDrain(on):
                 log.info("called to %s", "empty" if on else "go back to work")
                 if on:
-                    self.server.empty()
+                    self.server.start_lame_duck()
                 else:
-                    self.server.refill()
+                    self.server.end_lame_duck()
                 return Reply(200, "emptying" if on else "at work")
 
     def _ban(self, change: SetBan) -> Reply:
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -146,7 +146,7 @@
 def test_emptied_by_hand_it_keeps_nobody_and_comes_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "EMPTY_KEEP_S", 0.3)
+    monkeypatch.setattr(listener, "LAME_DUCK_KEEP_S", 0.3)
 
     async def ready(balancer: Balancer) -> int:
         client = await balancer.connect()
@@ -340,7 +340,7 @@
 def test_a_balancer_being_emptied_ends_on_sigterm_as_any(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "EMPTY_KEEP_S", 0.0)
+    monkeypatch.setattr(listener, "LAME_DUCK_KEEP_S", 0.0)
     monkeypatch.setattr(listener, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
@@ -350,7 +350,7 @@
             assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await client.reader.read() == b""
             await node.stop()
-            assert node.server._empty_task is None
+            assert node.server._lame_duck_task is None
 
     run(test())
 
