--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -44,7 +44,7 @@
 
 
 @dataclass
-class Got:
+class ReceivedRequest:
     """A request as an upstream received it."""
 
     line: str
@@ -52,14 +52,14 @@
     body: bytes
 
 
-async def read_request(reader: Reader) -> Got | None:
+async def read_request(reader: Reader) -> ReceivedRequest | None:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     line, *rest = head.strip().split("\r\n")
     headers = {k.lower(): v for k, v in (item.split(": ", 1) for item in rest)}
-    return Got(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
+    return ReceivedRequest(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -79,9 +79,9 @@
 class FakeServer:
     """Listens on an ephemeral port; `reply(request, writer)` answers each request, or a fixed answer does."""
 
-    def __init__(self, reply: Callable[[Got, Writer], Awaitable[None]] | bytes = OK) -> None:
+    def __init__(self, reply: Callable[[ReceivedRequest, Writer], Awaitable[None]] | bytes = OK) -> None:
         self.reply = reply
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self.connections = 0
         self.closed = 0
         self.writers: list[Writer] = []
@@ -110,7 +110,7 @@
             writer.close()
 
 
-async def silent(request: Got, writer: Writer) -> None:
+async def silent(request: ReceivedRequest, writer: Writer) -> None:
     """Read a request and send no answer."""
 
 
@@ -167,10 +167,10 @@
 
 def held(
     release: asyncio.Event, reply: bytes = OK, txn: str | None = None
-) -> Callable[[Got, Writer], Awaitable[None]]:
+) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
     """A `reply` that answers once `release` is set; with `txn` only that request waits, others do not."""
 
-    async def answer(request: Got, writer: Writer) -> None:
+    async def answer(request: ReceivedRequest, writer: Writer) -> None:
         if txn in (None, request.headers["x-txn"]):
             await release.wait()
         writer.write(reply)
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -17,7 +17,7 @@
 from passpost.callers import listener
 from passpost.ops import endpoint, handover
 from passpost.ops.node import OperatedNode, folder, take_over
-from tests.loopback import Balancer, FakeServer, Got, Writer, config_data, member, run, until
+from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, config_data, member, run, until
 
 
 async def call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
@@ -118,7 +118,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if "hold" in request.line:
                 await release.wait()
             status = b"500 No" if "bad" in request.line else b"200 OK"
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -14,7 +14,7 @@
 
 from passpost.host import HOST
 from passpost.streams import LONG
-from tests.loopback import Balancer, FakeServer, Got, Writer, balancer, run, until
+from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, balancer, run, until
 from tests.test_long import PATTERN, read_answer
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: 1\r\n\r\n"
@@ -38,7 +38,7 @@
         self.first, self.rest, self.resets = first, rest, resets
         self.go_on, self.ended = asyncio.Event(), asyncio.Event()
 
-    async def reply_and_end(self, request: Got, writer: Writer) -> None:
+    async def reply_and_end(self, request: ReceivedRequest, writer: Writer) -> None:
         writer.write(HEAD + self.first)
         await writer.drain()
         await self.go_on.wait()
@@ -123,7 +123,7 @@
     async def test() -> None:
         upstream = FakeServer()
 
-        async def reply_and_end(request: Got, writer: Writer) -> None:
+        async def reply_and_end(request: ReceivedRequest, writer: Writer) -> None:
             if len(upstream.got) == 1:
                 await immediate_upstream(PATTERN[:size], resets=True).reply_and_end(request, writer)
             else:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from tests.loopback import (
     Client,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     answer_json,
     config_data,
@@ -59,7 +59,7 @@
 
                 assert [await ask() for _ in range(20)] == [200] * 20
 
-                async def list_it(request: Got, writer: Writer) -> None:
+                async def list_it(request: ReceivedRequest, writer: Writer) -> None:
                     if "wait_ms" not in request.line or "after=1&" in request.line:
                         writer.write(answer_json(listing(2, member("s1", later.host_port))))
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,17 @@
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import parse_address, parse_listing
-from tests.loopback import FakeServer, Got, Writer, answer_json, balancer, listing, member, run, until
+from tests.loopback import (
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    answer_json,
+    balancer,
+    listing,
+    member,
+    run,
+    until,
+)
 from umberworks.interface import ListKind, ListUpdate, Readiness
 
 SAVED = listing(1, member("a", "127.0.0.1:1001"), member("b", "127.0.0.1:1002"))
@@ -25,7 +35,7 @@
     def __init__(self, *replies: bytes) -> None:
         self.replies = list(replies)
 
-    async def __call__(self, request: Got, writer: Writer) -> None:
+    async def __call__(self, request: ReceivedRequest, writer: Writer) -> None:
         if self.replies:
             writer.write(self.replies.pop(0))
 
@@ -152,7 +162,7 @@
     # RFC 9112, 6.3, rule 8. One that ended too early is no JSON: the list stays, and the call has failed.
     body = answer_json(listing(2, member("c", "127.0.0.1:1003"))).partition(b"\r\n\r\n")[2]
 
-    async def to_the_end(request: Got, writer: Writer) -> None:
+    async def to_the_end(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) - cut])
         writer.close()
 
@@ -214,7 +224,7 @@
     async def test() -> None:
         told = asyncio.Event()
 
-        async def tell_late(request: Got, writer: Writer) -> None:
+        async def tell_late(request: ReceivedRequest, writer: Writer) -> None:
             await told.wait()
             writer.write(answer_json(listing(2, member("a", "127.0.0.1:1001", "leaving"), complete=False)))
             told.clear()
@@ -234,7 +244,7 @@
     async def test() -> None:
         told = asyncio.Event()
 
-        async def tell_late(request: Got, writer: Writer) -> None:
+        async def tell_late(request: ReceivedRequest, writer: Writer) -> None:
             await told.wait()
             news = (
                 member("a", "127.0.0.1:1001", "leaving", up_since_ms=5),
@@ -307,7 +317,7 @@
     def __init__(self) -> None:
         self.answers: list[asyncio.Future[bytes]] = []
 
-    async def __call__(self, request: Got, writer: Writer) -> None:
+    async def __call__(self, request: ReceivedRequest, writer: Writer) -> None:
         answer = asyncio.get_running_loop().create_future()
         self.answers.append(answer)
         writer.write(await answer)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -29,7 +29,7 @@
     ROOT,
     Balancer,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     balancer,
     config_data,
@@ -234,7 +234,7 @@
     monkeypatch.setattr(upstream_pool, "REUSE_DELAY_S", 3_600.0)
     seen: list[Writer] = []
 
-    async def twice(request: Got, writer: Writer) -> None:
+    async def twice(request: ReceivedRequest, writer: Writer) -> None:
         txn = request.headers["x-txn"].encode()
         answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
         if writer in seen:
@@ -321,7 +321,7 @@
     # Only a stall of 10 s used to end such an answer, and with a byte now and then nothing did.
     monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 3_600.0)
 
-    async def never_ends(request: Got, writer: Writer) -> None:
+    async def never_ends(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n" + begun)
         while drips and not writer.is_closing():
             writer.write(b"1\r\nx\r\n" if b"chunked" in begun else b"x")
@@ -349,7 +349,7 @@
     # The daily benchmarks have answers of megabytes: when they were cut at the request's time, 186 of 264 broke off.
     rest = asyncio.Event()
 
-    async def in_two_parts(request: Got, writer: Writer) -> None:
+    async def in_two_parts(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + bytes(399_999))
         await rest.wait()
         writer.write(b"x")
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -21,7 +21,7 @@
     PATIENCE,
     ROOT,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     balancer,
     config_data,
@@ -473,7 +473,7 @@
     monkeypatch.setattr(listener, "KEEP_ALIVE_SHARE", 1.0)
 
     async def test() -> None:
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if request.headers["x-txn"] == "quick":
                 writer.write(OK)
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,7 +15,7 @@
 from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.connection import Connection
 from passpost.upstreams.pool import Upstreams
-from tests.loopback import AWAY, OK, FakeServer, Got, Writer, balancer, run, silent, until
+from tests.loopback import AWAY, OK, FakeServer, ReceivedRequest, Writer, balancer, run, silent, until
 from umberworks.interface import Outcome
 
 REQUEST = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
@@ -104,7 +104,7 @@
     ],
 )
 def test_truncated_answer_is_broken(raw: bytes) -> None:
-    async def cut(request: Got, writer: Writer) -> None:
+    async def cut(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(raw)
         writer.close()
 
@@ -170,7 +170,7 @@
         order: list[Writer] = []
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             order.append(writer)
             await release.wait()
             writer.write(OK)
@@ -304,7 +304,7 @@
 
 def test_request_is_resent_only_if_it_has_not_run() -> None:
     async def test() -> None:
-        async def reset(request: Got, writer: Writer) -> None:
+        async def reset(request: ReceivedRequest, writer: Writer) -> None:
             writer.close()
 
         broken, away, good = FakeServer(reset), FakeServer(AWAY), FakeServer()
