--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -165,7 +165,7 @@
 _ids = itertools.count(1)
 
 
-def held(
+def reply_when_released(
     release: asyncio.Event, reply: bytes = OK, txn: str | None = None
 ) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
     """A `reply` that answers once `release` is set; with `txn` only that request waits, others do not."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -33,9 +33,9 @@
     Writer,
     balancer,
     config_data,
-    held,
     member,
     program,
+    reply_when_released,
     run,
     silent,
     until,
@@ -95,7 +95,7 @@
     # Reading is paused while a request waits behind the open one, so the end of the stream used to go unseen.
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release))
+        upstream = FakeServer(reply_when_released(release))
         async with balancer(upstream) as b:
             client = await b.connect()
             client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
@@ -138,7 +138,7 @@
     # A client that lost its connection sends its request again before the end of the old connection has been read.
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release))
+        upstream = FakeServer(reply_when_released(release))
         async with balancer(upstream) as b:
             old = await b.connect()
             old.writer.write(
@@ -212,7 +212,10 @@
     # request away.
     async def test() -> None:
         release = asyncio.Event()
-        upstreams = FakeServer(held(release, AWAY)), FakeServer(held(release, AWAY))
+        upstreams = (
+            FakeServer(reply_when_released(release, AWAY)),
+            FakeServer(reply_when_released(release, AWAY)),
+        )
         async with balancer(*upstreams) as b:
             client = await b.connect()
             client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
@@ -428,7 +431,7 @@
 def test_closing_answer_is_not_lost_to_unread_bytes() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release))
+        upstream = FakeServer(reply_when_released(release))
         async with balancer(upstream) as b:
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
             client.sendall(request_bytes("/read", "t").replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -25,9 +25,9 @@
     Writer,
     balancer,
     config_data,
-    held,
     member,
     program,
+    reply_when_released,
     run,
     silent,
     until,
@@ -213,10 +213,12 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             assert await (await b.connect()).ask() is not None
-            held = [c._transport for c in b.node.server.connections]
-            held += [c._transport for pool in b.node.upstreams._pools.values() for c in pool.open]
-            assert len(held) == 2
-            for transport in held:
+            reply_when_released = [c._transport for c in b.node.server.connections]
+            reply_when_released += [
+                c._transport for pool in b.node.upstreams._pools.values() for c in pool.open
+            ]
+            assert len(reply_when_released) == 2
+            for transport in reply_when_released:
                 assert transport is not None
                 assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
@@ -227,7 +229,7 @@
     # An upstream would take the second request for a copy of the first, and drop it or run it twice.
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release, txn="slow"))
+        upstream = FakeServer(reply_when_released(release, txn="slow"))
         async with balancer(upstream) as b:
             first, other = await b.connect(), await b.connect()
             first.send(X_Txn="slow")
@@ -393,7 +395,7 @@
 def test_drain_accepts_late_connections_and_finishes_open_requests() -> None:
     async def test() -> None:
         release = asyncio.Event()
-        upstream = FakeServer(held(release, txn="slow"))
+        upstream = FakeServer(reply_when_released(release, txn="slow"))
         async with balancer(upstream) as b:
             idle, busy = await b.connect(), await b.connect()
             busy.send(X_Txn="slow")
