--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -110,7 +110,7 @@
             writer.close()
 
 
-async def silent(request: ReceivedRequest, writer: Writer) -> None:
+async def never_reply(request: ReceivedRequest, writer: Writer) -> None:
     """Read a request and send no answer."""
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,10 +34,10 @@
     balancer,
     config_data,
     member,
+    never_reply,
     program,
     reply_when_released,
     run,
-    silent,
     until,
 )
 from tests.virtual import run_simulated
@@ -476,7 +476,7 @@
 
 def test_drain_does_not_wait_for_unfinished_request_body() -> None:
     async def test() -> None:
-        upstream = FakeServer(silent)
+        upstream = FakeServer(never_reply)
         async with balancer(upstream) as b:
             client = await b.connect()
             head = "POST /order HTTP/1.1\r\nX-Txn: t\r\nX-Remaining: 9\r\nIdempotency-Key: k\r\n"
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -26,10 +26,10 @@
     balancer,
     config_data,
     member,
+    never_reply,
     program,
     reply_when_released,
     run,
-    silent,
     until,
 )
 from umberworks.interface import RequestArrived
@@ -64,7 +64,7 @@
     """While one of two balancers restarts, the other may use the whole fleet, not half of its capacity."""
 
     async def test() -> None:
-        upstreams = [FakeServer(silent) for _ in range(4)]
+        upstreams = [FakeServer(never_reply) for _ in range(4)]
 
         def two(data: dict[str, Any]) -> None:
             data["settings"]["balancers"] = 2
@@ -246,7 +246,7 @@
 
 def test_client_disconnect_cancels_its_attempt() -> None:
     async def test() -> None:
-        upstream = FakeServer(silent)
+        upstream = FakeServer(never_reply)
         async with balancer(upstream) as b:
             client = await b.connect()
             client.send()
@@ -260,7 +260,7 @@
 
 def test_deadline_fails_request_and_closes_upstream_connection() -> None:
     async def test() -> None:
-        upstream = FakeServer(silent)
+        upstream = FakeServer(never_reply)
         async with balancer(upstream) as b:
             client = await b.connect()
             answer = await client.ask("/pay", method="POST", X_Remaining="0.05")
@@ -363,7 +363,7 @@
     monkeypatch.setattr(listener, "NEW_CONNECTIONS_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
-        upstreams = [FakeServer(silent) for _ in range(4)]
+        upstreams = [FakeServer(never_reply) for _ in range(4)]
         async with balancer(*upstreams) as b:
             callers = [await b.connect() for _ in range(8)]
             await until(lambda: len(b.node.server.connections) == 8)
@@ -419,7 +419,7 @@
 
 def test_late_request_in_drain_is_answered_before_its_end() -> None:
     async def test() -> None:
-        async with balancer(FakeServer(silent)) as b:
+        async with balancer(FakeServer(never_reply)) as b:
             client = await b.connect()
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(0.05))
             await asyncio.sleep(0)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,7 +15,7 @@
 from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.connection import Connection
 from passpost.upstreams.pool import Upstreams
-from tests.loopback import AWAY, OK, FakeServer, ReceivedRequest, Writer, balancer, run, silent, until
+from tests.loopback import AWAY, OK, FakeServer, ReceivedRequest, Writer, balancer, never_reply, run, until
 from umberworks.interface import Outcome
 
 REQUEST = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
@@ -146,7 +146,7 @@
 
 def test_timed_out_or_cancelled_attempt_closes_its_connection() -> None:
     async def test() -> None:
-        server = FakeServer(silent)
+        server = FakeServer(never_reply)
         async with attempts_to(server) as c:
             assert await c.outcome(timeout=0.02) in (Outcome.TIMED_OUT, Outcome.UNREACHED)
             attempt = c.send()
@@ -277,7 +277,7 @@
 
 def test_at_connection_limit_longest_idle_connection_is_closed() -> None:
     async def test() -> None:
-        first, second = FakeServer(), FakeServer(silent)
+        first, second = FakeServer(), FakeServer(never_reply)
         async with attempts_to(first, second, max_open=1) as c:
             assert await c.outcome("s0") is Outcome.SERVED
             held = c.send("s1")
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -22,7 +22,17 @@
 from passpost.trace.engine import TracedCountingEngine, TracedEngine
 from passpost.trace.model import Call, End, Entry, Try, read, read_call, write, write_call
 from passpost.trace.tables import Asked, Step, add_up, around, follow
-from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
+from tests.loopback import (
+    Balancer,
+    FakeServer,
+    answer_json,
+    config_data,
+    listing,
+    member,
+    never_reply,
+    run,
+    until,
+)
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
 TRIES = st.builds(
@@ -189,7 +199,7 @@
         await until(lambda: calls()[-1].end == "status_503")
         assert (calls()[0].after, calls()[0].end, calls()[0].away) == (None, "answered", (("s0", "leaving"),))
         assert calls()[-1].after == 7 and calls()[0].place == place.host_port
-        place.reply = silent
+        place.reply = never_reply
         discovery.subscribe()
         asked = len(place.got)
         await until(lambda: len(place.got) > asked)
@@ -219,7 +229,7 @@
     engine: type[Engine], caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        good, hangs = FakeServer(), FakeServer(silent)
+        good, hangs = FakeServer(), FakeServer(never_reply)
         await good.start()
         await hangs.start()
 
