--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -25,8 +25,8 @@
 from passpost.upstreams import pool as upstream_pool
 from passpost.upstreams.pool import Upstreams
 from tests.loopback import (
-    AWAY,
     ROOT,
+    TURNED_AWAY,
     Balancer,
     FakeServer,
     ReceivedRequest,
@@ -213,8 +213,8 @@
     async def test() -> None:
         release = asyncio.Event()
         upstreams = (
-            FakeServer(reply_when_released(release, AWAY)),
-            FakeServer(reply_when_released(release, AWAY)),
+            FakeServer(reply_when_released(release, TURNED_AWAY)),
+            FakeServer(reply_when_released(release, TURNED_AWAY)),
         )
         async with balancer(*upstreams) as b:
             client = await b.connect()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -15,7 +15,17 @@
 from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.connection import Connection
 from passpost.upstreams.pool import Upstreams
-from tests.loopback import AWAY, OK, FakeServer, ReceivedRequest, Writer, balancer, never_reply, run, until
+from tests.loopback import (
+    OK,
+    TURNED_AWAY,
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    balancer,
+    never_reply,
+    run,
+    until,
+)
 from umberworks.interface import Outcome
 
 REQUEST = OutgoingRequest(b"GET /read HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 0\r\n", b"")
@@ -64,9 +74,9 @@
     [
         (OK, Outcome.SERVED),
         (b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + OK, Outcome.SERVED),
-        (AWAY, Outcome.TURNED_AWAY),
-        (AWAY.replace(b"503", b"504"), Outcome.TURNED_AWAY),
-        (AWAY.replace(b"503", b"500"), Outcome.ERROR),
+        (TURNED_AWAY, Outcome.TURNED_AWAY),
+        (TURNED_AWAY.replace(b"503", b"504"), Outcome.TURNED_AWAY),
+        (TURNED_AWAY.replace(b"503", b"500"), Outcome.ERROR),
         (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 404 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
@@ -307,7 +317,7 @@
         async def reset(request: ReceivedRequest, writer: Writer) -> None:
             writer.close()
 
-        broken, away, good = FakeServer(reset), FakeServer(AWAY), FakeServer()
+        broken, away, good = FakeServer(reset), FakeServer(TURNED_AWAY), FakeServer()
         async with balancer(broken, away) as b:
             answer = await (await b.connect()).ask("/pay", method="POST")
             assert answer is not None and answer.status in (502, 503)
