--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -38,7 +38,7 @@
     uvloop.run(bounded())
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.005)
 
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -17,7 +17,7 @@
 from passpost.callers import listener
 from passpost.ops import endpoint, handover
 from passpost.ops.node import OperatedNode, folder, take_over
-from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, config_data, member, run, until
+from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, config_data, member, run, wait_until
 
 
 async def call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
@@ -131,13 +131,13 @@
                 await client.ask(target, method="POST" if "pay" in target else "GET")
             held = await balancer.connect()
             held.send("/read?hold")
-            await until(lambda: len(upstream.got) == 4)
+            await wait_until(lambda: len(upstream.got) == 4)
             seen = await figures(node)
             assert seen["edge.served.read"] == 2 and seen["edge.failed.pay"] == 1
             assert seen["edge.attempts.read"] == 3 and seen["edge.attempts.pay"] == 1
             assert seen["edge.in_flight"] == 1
             held.writer.close()  # it has gone
-            await until(lambda: node.engine.tally.open == 0)
+            await wait_until(lambda: node.engine.tally.open == 0)
             release.set()
 
     run(test())
@@ -167,7 +167,7 @@
             answer = await client.ask()  # a kept connection is of use for a while
             assert answer is not None and answer.status == 200
             assert await client.reader.read() == b""  # and then it ends, though nothing was asked on it
-            await until(lambda: not node.server.connections)
+            await wait_until(lambda: not node.server.connections)
             late = await balancer.connect()
             answer = await late.ask()  # whoever comes all the same is served, once
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -190,12 +190,12 @@
                 config_data([member("s0", first.host_port), member("s1", second.host_port)]), tmp_path
             )
             assert new.server.port == old.server.port
-            await until(lambda: bool(old._links))
+            await wait_until(lambda: bool(old._links))
             assert (await call(new, "GET", "/_ready"))[0] == 200
             # A call to either is heard by both.
             assert (await call(old, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
             assert (await call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
-            await until(lambda: new._told.out == {"s1"})
+            await wait_until(lambda: new._told.out == {"s1"})
             stopped = asyncio.ensure_future(old.stop())
             answer = await kept.ask()  # what is open stays of use, and ends with its answer
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -205,7 +205,7 @@
                 assert answer is not None and answer.status == 200
                 client.writer.close()
             await stopped
-            await until(lambda: not new._links)
+            await wait_until(lambda: not new._links)
             assert new.server._max_open > old.server._max_open  # it has all descriptors again
             assert len(first.got) >= 30
             new.endpoint.close()
@@ -223,7 +223,7 @@
             for _ in range(2):
                 new = await operated(data, tmp_path)
                 await node.stop()
-                await until(lambda new=new: not new._links)  # type: ignore[misc]
+                await wait_until(lambda new=new: not new._links)  # type: ignore[misc]
                 node = new
                 client = await Balancer(node).connect()
                 assert (await client.ask()) is not None
@@ -312,7 +312,7 @@
         async with served(tmp_path, upstream) as (balancer, old):
             callers, upstreams = old.server._max_open, old.upstreams._max_open
             new = await operated(config_data([member("s0", upstream.host_port)]), tmp_path)
-            await until(lambda: old._successors == 1)
+            await wait_until(lambda: old._successors == 1)
             assert old.server._max_open < callers and old.upstreams._max_open < upstreams
             new.endpoint.close()
             new.server._pause()
@@ -320,7 +320,7 @@
             new.close()
             for link in new._links:
                 link.close()  # as the end of its process does
-            await until(lambda: old._successors == 0 and not old._links)
+            await wait_until(lambda: old._successors == 0 and not old._links)
             assert (old.server._max_open, old.upstreams._max_open) == (callers, upstreams)
             answer = await (await balancer.connect()).ask()
             assert answer is not None and answer.status == 200
--- a/tests/ops/test_processes.py
+++ b/tests/ops/test_processes.py
@@ -11,7 +11,7 @@
 import sys
 from pathlib import Path
 
-from tests.loopback import FakeServer, config_data, member, run, until
+from tests.loopback import FakeServer, config_data, member, run, wait_until
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -85,16 +85,16 @@
         assert await call(ops[0], "PUT", "/_upstreams/detach?id=s0") == 200
         callers = [asyncio.ensure_future(caller(i)) for i in range(4)]
         for port in ops[1:]:
-            await until(lambda: answered > 20 or bool(lost))
+            await wait_until(lambda: answered > 20 or bool(lost))
             new = await start(upstreams, port)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             process = new
             count = answered
-            await until(lambda count=count: answered > count + 20 or bool(lost))  # type: ignore[misc]
+            await wait_until(lambda count=count: answered > count + 20 or bool(lost))  # type: ignore[misc]
         assert upstreams[0].got == []  # left out by a call to the first of three versions
         assert await call(ops[-1], "PUT", "/_upstreams/attach?id=s0") == 200
-        await until(lambda: bool(upstreams[0].got) or bool(lost))
+        await wait_until(lambda: bool(upstreams[0].got) or bool(lost))
         stopped.set()
         await asyncio.gather(*callers)
         process.send_signal(signal.SIGTERM)
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -14,7 +14,7 @@
 from passpost.ops.rules import difference
 from passpost.ops.store import Store
 from tests.helpers import READ, settings
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 from umberworks.interface import (
     LearnedState,
     ListKind,
@@ -48,10 +48,10 @@
         Link(theirs, lambda: ends.append("receiver"), heard.append)
         sender.say(heritage.write(known(count)))
         sender.say(b"and another")
-        await until(lambda: len(heard) == 2)
+        await wait_until(lambda: len(heard) == 2)
         assert heritage.read(heard[0]) == known(count) and heard[1] == b"and another"
         sender.close()
-        await until(lambda: ends == ["receiver"])
+        await wait_until(lambda: ends == ["receiver"])
 
     run(test())
 
@@ -63,7 +63,7 @@
         link = Link(ours, lambda: ends.append("ended"))
         theirs.close()
         link.say(heritage.write(known(2_000)))
-        await until(lambda: ends == ["ended"])
+        await wait_until(lambda: ends == ["ended"])
         link.say(b"later")
         await asyncio.sleep(0)
         assert ends == ["ended"]
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -14,7 +14,7 @@
 
 from passpost.host import HOST
 from passpost.streams import LONG
-from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, balancer, run, until
+from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, balancer, run, wait_until
 from tests.test_long import PATTERN, read_answer
 
 HEAD = b"HTTP/1.1 200 OK\r\nX-Found: 1\r\n\r\n"
@@ -75,7 +75,7 @@
                 head, body = await read_answer(client.reader)
                 assert head.startswith(b"HTTP/1.1 200 ") and b"X-Found: 1" in head and body == PATTERN[:size]
             assert len(upstream.got) == 2
-            await until(b.node.engine.is_idle)
+            await wait_until(b.node.engine.is_idle)
 
     run(test())
 
@@ -98,7 +98,7 @@
             transport.pause_reading()
             upstream.go_on.set()
             await upstream.ended.wait()
-            await until(lambda: bool(HOST.ending(transport)(0)))
+            await wait_until(lambda: bool(HOST.ending(transport)(0)))
             transport.resume_reading()
             was_reset = False
             try:
@@ -111,7 +111,7 @@
                 assert was_reset is resets and (resets or got.endswith(PATTERN[LONG + 1 : LONG + 1000]))
             else:
                 assert got.endswith(b"\r\n0\r\n\r\n") is not resets
-            await until(b.node.engine.is_idle)
+            await wait_until(b.node.engine.is_idle)
 
     run(test())
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,7 +22,7 @@
     member,
     program,
     run,
-    until,
+    wait_until,
 )
 
 IDLE = 300
@@ -68,7 +68,7 @@
                 place.setblocking(False)
                 registry._server = await asyncio.start_server(registry._serve, sock=place)
                 idle += [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE)]
-                await until(
+                await wait_until(
                     lambda: bool(registry.got)
                 )  # it is back, and asked although callers fill the table
                 while not later.got:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
     listing,
     member,
     run,
-    until,
+    wait_until,
 )
 from umberworks.interface import ListKind, ListUpdate, Readiness
 
@@ -77,7 +77,7 @@
     discovery = Discovery(parse_address(old.host_port), parse_listing(SAVED))
     discovery.start(heard)
     discovery.subscribe()
-    await until(lambda: len(old.got) == 1)
+    await wait_until(lambda: len(old.got) == 1)
     assert discovery.move(parse_address(new.host_port))
     discovery.subscribe()
     try:
@@ -97,7 +97,7 @@
             listing(9, member("d", "127.0.0.1:1004")),
         )
         async with following(*map(answer_json, replies)) as (server, _, heard):
-            await until(lambda: len(server.got) == 5)
+            await wait_until(lambda: len(server.got) == 5)
             assert heard.kinds == [
                 ListKind.SAVED,
                 ListKind.CHANGES,
@@ -122,7 +122,7 @@
     async def test() -> None:
         moved = listing(2, member("a", "127.0.0.1:3001"), complete=False)
         async with following(answer_json(moved)) as (server, _, heard):
-            await until(lambda: len(server.got) == 2)
+            await wait_until(lambda: len(server.got) == 2)
             assert heard.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
 
     run(test())
@@ -147,11 +147,11 @@
 def test_a_bad_answer_counts_as_failed_and_leaves_the_list(reply: bytes) -> None:
     async def test() -> None:
         async with following(reply, answer_json(SAVED)) as (_, discovery, heard):
-            await until(lambda: len(heard.kinds) == 2)
+            await wait_until(lambda: len(heard.kinds) == 2)
             assert heard.kinds == [ListKind.SAVED, ListKind.FAILED]
             assert set(heard.addresses) == {"a", "b"}
             discovery.subscribe()  # when the module asks again, it works again
-            await until(lambda: len(heard.kinds) == 3)
+            await wait_until(lambda: len(heard.kinds) == 3)
             assert heard.kinds[2] is ListKind.WHOLE
 
     run(test())
@@ -169,7 +169,7 @@
     async def test() -> None:
         async with following() as (server, discovery, heard):
             server.reply = to_the_end
-            await until(lambda: len(heard.kinds) == 2 if cut else heard.kinds[1:2] == [ListKind.WHOLE])
+            await wait_until(lambda: len(heard.kinds) == 2 if cut else heard.kinds[1:2] == [ListKind.WHOLE])
             if cut:
                 assert heard.kinds[1] is ListKind.FAILED and set(discovery.members) == {"a", "b"}
             else:
@@ -184,8 +184,8 @@
 
     async def test() -> None:
         async with following() as (server, _, heard):
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
-            await until(lambda: server.closed == server.connections)
+            await wait_until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
+            await wait_until(lambda: server.closed == server.connections)
 
     run(test())
 
@@ -199,12 +199,12 @@
         await skipped.start()
         await new.start()
         async with following(answer_json(listing(7, complete=False))) as (old, discovery, heard):
-            await until(lambda: len(old.got) == 2)  # the watch is on
+            await wait_until(lambda: len(old.got) == 2)  # the watch is on
             assert discovery.move(parse_address(skipped.host_port))
             assert discovery.move(parse_address(new.host_port))
             discovery.subscribe()
             assert set(heard.addresses) == {"a", "b"}  # they serve until the new list is there
-            await until(lambda: len(new.got) == 2)
+            await wait_until(lambda: len(new.got) == 2)
             assert not discovery.move(parse_address(new.host_port))  # nothing to do
             assert heard.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
             assert set(heard.addresses) == {"c"}
@@ -231,9 +231,9 @@
 
         busy, old = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), FakeServer(tell_late)
         async with moved(old, busy) as heard:
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
+            await wait_until(lambda: heard.kinds == [ListKind.SAVED, ListKind.FAILED])
             told.set()
-            await until(lambda: heard.kinds[2:] == [ListKind.CHANGES])
+            await wait_until(lambda: heard.kinds[2:] == [ListKind.CHANGES])
             assert [m.readiness for m in heard.updates[2].members] == [Readiness.DRAINING]
 
     run(test())
@@ -259,12 +259,12 @@
         )
         new, old = FakeServer(Script(answer_json(fresh))), FakeServer(tell_late)
         async with moved(old, new) as heard:
-            await until(lambda: heard.kinds == [ListKind.SAVED, ListKind.WHOLE])
+            await wait_until(lambda: heard.kinds == [ListKind.SAVED, ListKind.WHOLE])
             told.set()
-            await until(lambda: len(heard.kinds) == 3)
+            await wait_until(lambda: len(heard.kinds) == 3)
             assert [(m.server, m.readiness) for m in heard.updates[2].members] == [("a", Readiness.DRAINING)]
             assert set(heard.addresses) == {"a", "b"}
-            await until(lambda: old.closed == 1)
+            await wait_until(lambda: old.closed == 1)
             assert len(old.got) == 1  # it is asked no more
 
     run(test())
@@ -296,14 +296,14 @@
         discovery = module.Discovery(parse_address(agent.host_port), known, pushed=True)
         told: list[ListUpdate] = []
         discovery.start(lambda update, addresses: told.append(update))
-        await until(lambda: any(u.members for u in told))
+        await wait_until(lambda: any(u.members for u in told))
         agent.reply = answer_json(listing(3, member("b", "127.0.0.1:2")))
-        await until(lambda: [m.server for m in told[-1].members] == ["b"])
+        await wait_until(lambda: [m.server for m in told[-1].members] == ["b"])
         agent.reply = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
         seen = len(agent.got)
-        await until(lambda: len(agent.got) > seen + 2)  # it goes on asking
+        await wait_until(lambda: len(agent.got) > seen + 2)  # it goes on asking
         agent.reply = answer_json(listing(4, member("c", "127.0.0.1:3")))
-        await until(lambda: [m.server for m in told[-1].members] == ["c"])
+        await wait_until(lambda: [m.server for m in told[-1].members] == ["c"])
         assert all(u.kind is not ListKind.FAILED for u in told)
         discovery.stop()
         agent.stop()
@@ -345,7 +345,7 @@
     discovery = Hasty(parse_address(server.host_port), parse_listing(SAVED), pushed)
     discovery.start(heard)
     discovery.subscribe()
-    await until(lambda: len(turns.answers) == 2)
+    await wait_until(lambda: len(turns.answers) == 2)
     try:
         yield turns, server, heard
     finally:
@@ -373,7 +373,7 @@
     async def test() -> None:
         async with overdue(pushed) as (turns, _, heard):
             turns.answer(1, LEAVING)
-            await until(lambda: len(heard.kinds) == 2)
+            await wait_until(lambda: len(heard.kinds) == 2)
             assert heard.kinds[1] is ListKind.CHANGES
             assert [m.readiness for m in heard.updates[1].members] == [Readiness.DRAINING]
 
@@ -384,10 +384,10 @@
     async def test() -> None:
         async with overdue() as (turns, server, heard):
             turns.answer(0, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(heard.addresses) == {"a", "b", "c"})
-            await until(lambda: server.closed == 1)
+            await wait_until(lambda: set(heard.addresses) == {"a", "b", "c"})
+            await wait_until(lambda: server.closed == 1)
             turns.answer(1, LEAVING)
-            await until(lambda: len(heard.kinds) == 3)
+            await wait_until(lambda: len(heard.kinds) == 3)
             assert heard.updates[2].members[0].readiness is Readiness.DRAINING
 
     run(test())
@@ -401,9 +401,9 @@
     async def test() -> None:
         async with overdue(pushed) as (turns, server, heard):
             turns.answer(1, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(heard.addresses) == {"a", "b", "c"})
+            await wait_until(lambda: set(heard.addresses) == {"a", "b", "c"})
             turns.answer(0, LEAVING | {"revision": revision})
-            await until(lambda: server.closed >= 1)
+            await wait_until(lambda: server.closed >= 1)
             told = [m.server for u in heard.updates[2:] for m in u.members]
             assert told == (["a"] if leaves else [])
 
@@ -414,7 +414,7 @@
     # The timer may be due in the very turn of the stop, before the call's task has heard of its end.
     async def test() -> None:
         async with following() as (server, discovery, _):
-            await until(lambda: len(server.got) == 1)
+            await wait_until(lambda: len(server.got) == 1)
             place = discovery._place
             discovery.stop()
             discovery._ask_beside(place, 10_000)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -38,7 +38,7 @@
     program,
     reply_when_released,
     run,
-    until,
+    wait_until,
 )
 from tests.virtual import run_simulated
 from umberworks.interface import ListKind, Readiness
@@ -82,7 +82,7 @@
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
             client.sendall(b"".join(request_bytes("/read", f"gone{i}") for i in range(ahead)))
             client.close()  # before the event loop runs again
-            await until(lambda: b.node.server._tasks == set() and len(b.node.server.connections) == 1)
+            await wait_until(lambda: b.node.server._tasks == set() and len(b.node.server.connections) == 1)
             answer = await other.ask(X_Txn="here")
             assert answer is not None and answer.status == 200
             assert received_ids(upstream) == ["before", "here"]
@@ -99,13 +99,13 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             client.writer.write_eof()
-            await until(
+            await wait_until(
                 lambda: all(c._transport is not None and c._peer_closed(0) for c in b.node.server.connections)
             )
             release.set()
-            await until(lambda: not b.node.server.connections)
+            await wait_until(lambda: not b.node.server.connections)
             assert received_ids(upstream) == ["first"] and b.node.engine.is_idle()
 
     run(test())
@@ -120,10 +120,10 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             client.writer.write(request_bytes("/read", "gone") + behind)
-            await until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.waiting == 1)
             client.writer.write_eof()
             gate.open.set()
-            await until(lambda: not b.node.server.connections)
+            await wait_until(lambda: not b.node.server.connections)
             answer = await (await b.connect()).ask(X_Txn="here")
             assert answer is not None and answer.status == 200
             assert received_ids(upstream) == ["here"] and b.node.engine.is_idle()
@@ -144,20 +144,20 @@
             old.writer.write(
                 request_bytes("/read", "again") + (request_bytes("/read", "behind") if behind else b"")
             )
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             set_reading(b, False)
             (caller,) = b.node.server.connections
             old.writer.close()
-            await until(lambda: bool(caller._peer_closed(0)))
+            await wait_until(lambda: bool(caller._peer_closed(0)))
             new = await b.connect()
             new.send(X_Txn="again")
-            await until(lambda: len(upstream.got) == 2)
+            await wait_until(lambda: len(upstream.got) == 2)
             release.set()
             answer = await new.answer()
             assert answer is not None and answer.status == 200
             # The first attempt was cancelled.
             assert received_ids(upstream) == ["again", "again"] and upstream.closed == 1
-            await until(b.node.engine.is_idle)
+            await wait_until(b.node.engine.is_idle)
             assert not b.node.server.open_ids
 
     run(test())
@@ -192,16 +192,16 @@
             client.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(client, b"%x\r\n%b\r\n" % (part, first) if chunked else first)
-            await until(lambda: got.count(b"a") >= part)
+            await wait_until(lambda: got.count(b"a") >= part)
             set_reading(b, False)
             await loop.sock_sendall(client, b"%x\r\n%b\r\n0\r\n\r\n" % (len(rest), rest) if chunked else rest)
             client.close()
             (caller,) = b.node.server.connections
-            await until(lambda: bool(caller._peer_closed(0)))
+            await wait_until(lambda: bool(caller._peer_closed(0)))
             set_reading(b, True)
             await connection_ended.wait()
             assert not got.endswith(b"0\r\n\r\n") and (chunked or got.count(b"z") < len(rest))
-            await until(lambda: b.node.engine.is_idle() and not b.node.server.connections)
+            await wait_until(lambda: b.node.engine.is_idle() and not b.node.server.connections)
         listener.close()
 
     run(test())
@@ -219,11 +219,11 @@
         async with balancer(*upstreams) as b:
             client = await b.connect()
             client.writer.write(request_bytes("/read", "first") + request_bytes("/read", "behind"))
-            await until(lambda: sum(len(u.got) for u in upstreams) == 1)
+            await wait_until(lambda: sum(len(u.got) for u in upstreams) == 1)
             client.writer.write_eof()
-            await until(lambda: all(c._peer_closed(0) for c in b.node.server.connections))
+            await wait_until(lambda: all(c._peer_closed(0) for c in b.node.server.connections))
             release.set()
-            await until(lambda: not b.node.server.connections)
+            await wait_until(lambda: not b.node.server.connections)
             assert sum(len(u.got) for u in upstreams) == 1 and b.node.engine.is_idle()
 
     run(test())
@@ -276,7 +276,7 @@
         async with balancer(*upstreams) as b:
             client = await b.connect()
             client.send(target, method="GET" if target == "/read" else "POST", X_Txn="t")
-            await until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.waiting == 1)
             (chosen,) = (n for n, u in b.node.upstreams._pools.items() if u.open)
             index = int(chosen[1:])
             apply_list_change(b, chosen, upstreams[index].host_port, phase)
@@ -296,7 +296,7 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             client.send(X_Txn="t")
-            await until(lambda: gate.waiting == 1)
+            await wait_until(lambda: gate.waiting == 1)
             for phase in ("leaving", "active"):
                 apply_list_change(b, "s0", upstream.host_port, phase)
             assert b.node.discovery.members["s0"].readiness is Readiness.READY
@@ -343,7 +343,7 @@
                 rest = b""
             # The client can apply_list_change that the answer is incomplete.
             assert not rest.endswith(b"0\r\n\r\n") and len(rest) < 100_000
-            await until(lambda: upstream.closed == 1 and b.node.engine.is_idle())
+            await wait_until(lambda: upstream.closed == 1 and b.node.engine.is_idle())
 
     run(test())
 
@@ -363,11 +363,13 @@
             client.send(X_Remaining="0.3")
             await client.reader.readuntil(b"\r\n\r\n")
             (request,) = b.node.engine._requests.values()
-            await until(lambda: asyncio.get_running_loop().time() > request.due and request.guard is not None)
+            await wait_until(
+                lambda: asyncio.get_running_loop().time() > request.due and request.guard is not None
+            )
             await asyncio.sleep(0)
             rest.set()
             assert len(await client.reader.readexactly(400_000)) == 400_000
-            await until(b.node.engine.is_idle)
+            await wait_until(b.node.engine.is_idle)
 
     run(test())
 
@@ -387,7 +389,7 @@
 async def wait_for_unread_bytes(b: Balancer) -> None:
     """Wait until bytes from a client lie in the kernel."""
     transports = [c._transport for c in b.node.server.connections if c._transport is not None]
-    await until(lambda: any(HOST.watcher(t)(0) for t in transports))
+    await wait_until(lambda: any(HOST.watcher(t)(0) for t in transports))
 
 
 def test_idle_timeout_spares_connection_with_unread_request() -> None:
@@ -435,12 +437,12 @@
         async with balancer(upstream) as b:
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
             client.sendall(request_bytes("/read", "t").replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"))
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             set_reading(b, False)
             client.sendall(b"more")
             release.set()
-            await until(lambda: b.node.engine.is_idle())
-            await until(lambda: all(c._lingering for c in b.node.server.connections))
+            await wait_until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: all(c._lingering for c in b.node.server.connections))
             set_reading(b, True)  # the rest is read and discarded
             client.setblocking(False)
             answer = await asyncio.get_running_loop().sock_recv(client, 65536)
@@ -481,11 +483,11 @@
             client = await b.connect()
             head = "POST /order HTTP/1.1\r\nX-Txn: t\r\nX-Remaining: 9\r\nIdempotency-Key: k\r\n"
             client.writer.write(f"{head}Content-Length: 39000000\r\n\r\n".encode())
-            await until(lambda: any(c.is_busy() for c in b.node.server.connections))
+            await wait_until(lambda: any(c.is_busy() for c in b.node.server.connections))
             slow = next(iter(b.node.server.connections))
             slow._body_since += 1_000.0  # it has sent faster than the minimum rate, and may take long to end
             await b.node.server.drain(0.3)
-            await until(lambda: not b.node.server.connections)
+            await wait_until(lambda: not b.node.server.connections)
 
     run(test())
 
--- a/tests/test_lists.py
+++ b/tests/test_lists.py
@@ -14,7 +14,7 @@
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import Listing, parse_address, parse_listing
-from tests.loopback import FakeServer, answer_json, balancer, listing, member, run, until
+from tests.loopback import FakeServer, answer_json, balancer, listing, member, run, wait_until
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 
@@ -156,17 +156,17 @@
         await agent.start()
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
         discovery.start(heard.tell, heard.part)
-        await until(lambda: len(discovery.members) == 10_000)
+        await wait_until(lambda: len(discovery.members) == 10_000)
         assert max(len(u.members) for u, _ in heard.parts) <= lists.TELL_AT_ONCE
         assert {u.kind for u, _ in heard.parts} == {ListKind.CHANGES}
         broken = many(10_000, 3, start=5_000)
         broken["members"][-1]["phase"] = "nonsense"
         agent.reply = answer_json(broken)
         seen, told = len(agent.got), len([u for u, _ in heard.parts if u.members])
-        await until(lambda: len(agent.got) > seen + 2)
+        await wait_until(lambda: len(agent.got) > seen + 2)
         assert len([u for u, _ in heard.parts if u.members]) == told and "s0" in discovery.members
         agent.reply = answer_json(many(10_000, 4, start=5_000))
-        await until(lambda: "s0" not in discovery.members and len(discovery.members) == 10_000)
+        await wait_until(lambda: "s0" not in discovery.members and len(discovery.members) == 10_000)
         sizes, count = [], 10_000
         for update, _ in heard.parts[told:]:
             count += sum(1 if m.readiness is not Readiness.GONE else -1 for m in update.members)
@@ -186,7 +186,7 @@
         discovery = Discovery(parse_address(agent.host_port), parse_listing(many(150, 2)))
         discovery.start(heard.tell, heard.part)
         discovery.subscribe()
-        await until(lambda: bool(heard.parts))
+        await wait_until(lambda: bool(heard.parts))
         assert heard.parts[0] == (ListUpdate(ListKind.CHANGES, ()), {})
         assert len(discovery.members) == 150
         discovery.stop()
@@ -211,7 +211,7 @@
         agent = FakeServer(flapping(0))
         await agent.start()
         async with balancer(discovery=agent.host_port) as b:
-            await until(lambda: len(b.node.discovery.members) == 3_001)
+            await wait_until(lambda: len(b.node.discovery.members) == 3_001)
             client = await b.connect()
             for turn in range(1, 4):
                 agent.reply = flapping(turn)
@@ -219,7 +219,7 @@
                 while first not in b.node.discovery.members:
                     answer = await client.ask()
                     assert answer is not None and answer.status == 200
-                await until(lambda: len(b.node.discovery.members) == 3_001)
+                await wait_until(lambda: len(b.node.discovery.members) == 3_001)
             assert set(b.node.upstreams._pools) == set(b.node.discovery.members)
         agent.stop()
         upstream.stop()
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -12,7 +12,7 @@
 from passpost.http1 import MAX_LONG
 from passpost.streams import AHEAD, LONG, Upload
 from passpost.upstreams import connection as upstream_connection
-from tests.loopback import Client, Reader, Writer, balancer, run, until
+from tests.loopback import Client, Reader, Writer, balancer, run, wait_until
 
 MB = 1024 * 1024
 PATTERN = bytes(range(251)) * 4_200  # a little over 1 MB, whose period fits no chunk size
@@ -112,7 +112,7 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             client.writer.write(upload_head(client, 3 * LONG) + bytes(2 * LONG))
-            await until(lambda: len(upstream.heads) == 1)
+            await wait_until(lambda: len(upstream.heads) == 1)
             client.writer.write(bytes(LONG))
             assert (await read_answer(client.reader))[1] == b"ok"
             told = upstream.heads[0].partition(b"X-Remaining: ")[2].partition(b"\r\n")[0]
@@ -143,7 +143,7 @@
                 client.send()
                 head, body = await read_answer(client.reader)
                 assert body == PATTERN and b"X-Found: 1" in head
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -204,7 +204,7 @@
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
                 await read_answer(client.reader)
             assert len(upstream.heads) == 1  # nothing was sent again
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -222,7 +222,7 @@
             head = await client.reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in head
             assert len(first.heads) + len(second.heads) == 1
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -277,13 +277,13 @@
             left = 32 * MB - 64 * 1024 * count
             client.writer.write(b"x" * left)
             await client.reader.readuntil(b"\r\n\r\n")
-            await until(lambda: caller._write_blocked)
+            await wait_until(lambda: caller._write_blocked)
             assert caller._transport is not None and caller._transport.get_write_buffer_size() < 2 * MB
             assert sent < 32 * MB
             got = 0
             while got < 32 * MB:
                 got += len(await client.reader.read(MB))
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -306,7 +306,7 @@
                 found.writer.write(chunk)
                 await found.writer.drain()
             assert (await found.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 413 ")
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
             assert len(upstream.heads) == 1  # only the request that had begun, and that was never complete
 
     run(test())
@@ -328,7 +328,7 @@
             client.writer.write(upload_head(client, MB) + b"x" * (LONG + 1))
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 408 ")
             await ended.wait()
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -354,10 +354,10 @@
             if after == "answer":
                 await client.reader.readuntil(b"\r\n\r\n")
             else:
-                await until(lambda: bool(upstream.heads))
+                await wait_until(lambda: bool(upstream.heads))
             client.writer.transport.abort()
             await ended.wait()
-            await until(lambda: b.node.engine.is_idle())
+            await wait_until(lambda: b.node.engine.is_idle())
 
     run(test())
 
@@ -442,7 +442,7 @@
             first, second = await b.connect(), await b.connect()
             raw = upload_head(first, MB)
             first.writer.write(raw + b"x" * MB)
-            await until(lambda: len(upstream.heads) == 1)
+            await wait_until(lambda: len(upstream.heads) == 1)
             second.writer.write(raw + b"x" * MB)
             assert (await second.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 409 ")
             await second.writer.drain()  # the rest of the body was read, so that it does not block the answer
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -30,7 +30,7 @@
     program,
     reply_when_released,
     run,
-    until,
+    wait_until,
 )
 from umberworks.interface import RequestArrived
 
@@ -73,7 +73,7 @@
             callers = [await b.connect() for _ in range(16)]
             for caller in callers:
                 caller.send()
-            await until(lambda: sum(len(u.got) for u in upstreams) == len(callers))
+            await wait_until(lambda: sum(len(u.got) for u in upstreams) == len(callers))
             for upstream in upstreams:
                 for writer in upstream.writers:
                     writer.write(OK)
@@ -233,7 +233,7 @@
         async with balancer(upstream) as b:
             first, other = await b.connect(), await b.connect()
             first.send(X_Txn="slow")
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             answer = await other.ask(X_Txn="slow")
             assert answer is not None and answer.status == 409
             release.set()
@@ -250,10 +250,10 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             client.send()
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             client.writer.close()
-            await until(lambda: upstream.closed == 1)
-            await until(lambda: not b.node.engine._requests and not b.node.engine._balancer._requests)
+            await wait_until(lambda: upstream.closed == 1)
+            await wait_until(lambda: not b.node.engine._requests and not b.node.engine._balancer._requests)
 
     run(test())
 
@@ -265,7 +265,7 @@
             client = await b.connect()
             answer = await client.ask("/pay", method="POST", X_Remaining="0.05")
             assert answer is not None and answer.status == 504
-            await until(lambda: upstream.closed == 1)  # a late answer must not reach another request
+            await wait_until(lambda: upstream.closed == 1)  # a late answer must not reach another request
             assert not b.node.engine._requests and not b.node.engine._balancer._requests
 
     run(test())
@@ -345,7 +345,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             first = await b.connect()
-            await until(lambda: bool(b.node.server.connections))
+            await wait_until(lambda: bool(b.node.server.connections))
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(100.0))
             for client in (first, first, await b.connect()):
                 answer = await client.ask()
@@ -366,12 +366,12 @@
         upstreams = [FakeServer(never_reply) for _ in range(4)]
         async with balancer(*upstreams) as b:
             callers = [await b.connect() for _ in range(8)]
-            await until(lambda: len(b.node.server.connections) == 8)
+            await wait_until(lambda: len(b.node.server.connections) == 8)
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(100.0))
-            await until(lambda: b.node.server.draining)
+            await wait_until(lambda: b.node.server.draining)
             for caller in callers[:6]:
                 caller.send()
-            await until(lambda: sum(len(u.got) for u in upstreams) == 6)
+            await wait_until(lambda: sum(len(u.got) for u in upstreams) == 6)
             # The client of the last free connection but one may repeat its request at any rate.
             for _ in range(2):
                 refused = await callers[6].ask()
@@ -399,12 +399,12 @@
         async with balancer(upstream) as b:
             idle, busy = await b.connect(), await b.connect()
             busy.send(X_Txn="slow")
-            await until(lambda: len(upstream.got) == 1)
+            await wait_until(lambda: len(upstream.got) == 1)
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(PATIENCE))
             await asyncio.sleep(0)
             late = await b.connect()
             b.node.server._deadline -= PATIENCE - listener.CLOSING_PHASE_S  # start the closing phase
-            await until(lambda: b.node.server.closing)
+            await wait_until(lambda: b.node.server.closing)
             answer = await late.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
             assert await idle.answer() is None  # closed between two requests
@@ -485,17 +485,17 @@
             first, second = await b.connect(), await b.connect()
             assert await first.ask(X_Txn="quick") is not None
             second.send()
-            await until(lambda: len(upstream.got) == 2)
+            await wait_until(lambda: len(upstream.got) == 2)
             third = await b.connect()
             third.send()
             assert await first.answer() is None  # idle for longest
-            await until(lambda: len(upstream.got) == 3)
+            await wait_until(lambda: len(upstream.got) == 3)
             fourth = await b.connect()  # stays in the accept queue, as both others are busy
             fourth.send()
-            await until(lambda: not b.node.server._accepting)
+            await wait_until(lambda: not b.node.server._accepting)
             assert len(b.node.server.connections) == 2
             second.writer.close()
-            await until(lambda: len(upstream.got) == 4)
+            await wait_until(lambda: len(upstream.got) == 4)
 
     run(test())
 
@@ -511,8 +511,8 @@
             assert await used.ask() is not None
             without_request = await b.connect()
             without_request.writer.write(sent)
-            await until(lambda: sum(c._reading for c in b.node.server.connections) == bool(sent))
-            await until(lambda: len(b.node.server.connections) == 2)
+            await wait_until(lambda: sum(c._reading for c in b.node.server.connections) == bool(sent))
+            await wait_until(lambda: len(b.node.server.connections) == 2)
             another = await b.connect()
             assert await without_request.answer() is None
             for client in (used, another):
@@ -530,7 +530,7 @@
             client = await b.connect()
             one = b"GET /health/ready HTTP/1.1\r\n\r\n"
             sent = 0
-            await until(lambda: bool(b.node.server.connections))
+            await wait_until(lambda: bool(b.node.server.connections))
             (connection,) = b.node.server.connections
             while not (connection._write_blocked and connection._queue):
                 client.writer.write(one * 1_000)
@@ -553,16 +553,16 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
-            await until(lambda: bool(b.node.server.connections))
+            await wait_until(lambda: bool(b.node.server.connections))
             (connection,) = b.node.server.connections
             connection.write(b"x" * 64 * 1024 * 1024)  # more than the kernel buffers
             if draining:
                 await b.node.server.drain(0.0)
             else:
                 client.send()  # pipelined: waits until the answer before it has been read
-                await until(lambda: bool(connection._queue))
+                await wait_until(lambda: bool(connection._queue))
                 monkeypatch.setattr("passpost.callers.connection.UNSENT_TIMEOUT_S", 0.0)
-            await until(lambda: not b.node.server.connections)
+            await wait_until(lambda: not b.node.server.connections)
             assert not client.writer.is_closing()  # the balancer closed the connection
 
     run(test())
@@ -595,7 +595,7 @@
             assert await client.ask() is not None
             (connection,) = b.node.server.connections
             client.writer.write(b"\r\n")
-            await until(lambda: connection._head_size == 2)
+            await wait_until(lambda: connection._head_size == 2)
             assert connection.is_idle()
             answer = await client.ask()
             assert answer is not None and answer.status == 200
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -24,7 +24,7 @@
     balancer,
     never_reply,
     run,
-    until,
+    wait_until,
 )
 from umberworks.interface import Outcome
 
@@ -48,7 +48,7 @@
     async def outcome(self, server: str = "s0", timeout: float = 10.0) -> Outcome:
         had = len(self.outcomes)
         self.send(server, timeout=timeout)
-        await until(lambda: len(self.outcomes) > had)
+        await wait_until(lambda: len(self.outcomes) > had)
         return self.outcomes[-1]
 
 
@@ -146,10 +146,10 @@
                 c.upstreams.set_addresses({"s0": listener.getsockname()})
                 attempt = c.send(request=OutgoingRequest(REQUEST.head, b"x" * 64 * 1024 * 1024))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
-                await until(lambda: attempt.connection is not None)
+                await wait_until(lambda: attempt.connection is not None)
                 assert not attempt.is_written()
                 peer.close()
-                await until(lambda: c.outcomes == [Outcome.UNREACHED])
+                await wait_until(lambda: c.outcomes == [Outcome.UNREACHED])
 
     run(test())
 
@@ -160,11 +160,11 @@
         async with attempts_to(server) as c:
             assert await c.outcome(timeout=0.02) in (Outcome.TIMED_OUT, Outcome.UNREACHED)
             attempt = c.send()
-            await until(lambda: attempt.is_written())
+            await wait_until(lambda: attempt.is_written())
             attempt.cancel()
             attempt.cancel()
             assert c.outcomes[1:] == [Outcome.CANCELLED]
-            await until(lambda: server.closed == server.connections)
+            await wait_until(lambda: server.closed == server.connections)
 
     run(test())
 
@@ -188,13 +188,13 @@
         server = FakeServer(reply)
         async with attempts_to(server) as c:
             c.send(), c.send()
-            await until(lambda: len(order) == 2)
+            await wait_until(lambda: len(order) == 2)
             release.set()
-            await until(lambda: len(c.outcomes) == 2)
+            await wait_until(lambda: len(c.outcomes) == 2)
             expected_connection = c.upstreams._pools["s0"].idle[-1] if past_delay else None
             attempt = c.send()
             assert attempt.connection is expected_connection
-            await until(lambda: len(c.outcomes) == 3)
+            await wait_until(lambda: len(c.outcomes) == 3)
             assert server.connections == 2 + (not past_delay)
 
     run(test())
@@ -210,7 +210,7 @@
                 server.writers[0].close()
             else:
                 server.writers[0].write(sent_after_answer)
-            await until(lambda: c.upstreams._open_count == 0)
+            await wait_until(lambda: c.upstreams._open_count == 0)
             assert await c.outcome() is Outcome.SERVED
             assert server.connections == 2
 
@@ -246,7 +246,7 @@
                 with peer:
                     await loop.sock_recv(peer, 65536)
                     peer.send(OK)
-                    await until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open_count == 1)
+                    await wait_until(lambda: c.outcomes == [Outcome.SERVED] and c.upstreams._open_count == 1)
                     if sent_after_answer is None:
                         peer.shutdown(socket.SHUT_WR)
                     else:
@@ -267,7 +267,7 @@
         server = FakeServer()
         async with attempts_to(server, idle=0.0) as c:
             assert await c.outcome() is Outcome.SERVED
-            await until(lambda: server.closed == 1)
+            await wait_until(lambda: server.closed == 1)
 
     run(test())
 
@@ -278,7 +278,7 @@
         async with attempts_to(old, new) as c:
             await c.outcome("s0")
             c.upstreams.set_addresses({"s0": parse_address(new.host_port)})
-            await until(lambda: old.closed == 1)
+            await wait_until(lambda: old.closed == 1)
             assert await c.outcome("s0") is Outcome.SERVED
             assert len(new.got) == 1
 
@@ -291,8 +291,8 @@
         async with attempts_to(first, second, max_open=1) as c:
             assert await c.outcome("s0") is Outcome.SERVED
             held = c.send("s1")
-            await until(held.is_written)
-            await until(lambda: first.closed == 1)
+            await wait_until(held.is_written)
+            await wait_until(lambda: first.closed == 1)
             assert await c.outcome("s0") is Outcome.UNREACHED  # there is no idle connection left to close
             assert c.upstreams._open_count == 1
 
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -31,7 +31,7 @@
     member,
     never_reply,
     run,
-    until,
+    wait_until,
 )
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
@@ -194,17 +194,17 @@
         def calls() -> list[Call]:
             return [c for r in caplog.records if (c := read_call(r.getMessage())) is not None]
 
-        await until(lambda: bool(calls()))
+        await wait_until(lambda: bool(calls()))
         place.reply = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        await until(lambda: calls()[-1].end == "status_503")
+        await wait_until(lambda: calls()[-1].end == "status_503")
         assert (calls()[0].after, calls()[0].end, calls()[0].away) == (None, "answered", (("s0", "leaving"),))
         assert calls()[-1].after == 7 and calls()[0].place == place.host_port
         place.reply = never_reply
         discovery.subscribe()
         asked = len(place.got)
-        await until(lambda: len(place.got) > asked)
+        await wait_until(lambda: len(place.got) > asked)
         discovery.stop()
-        await until(lambda: calls()[-1].end == "dropped")
+        await wait_until(lambda: calls()[-1].end == "dropped")
         place.stop()
 
     with caplog.at_level(logging.INFO, "passpost.trace.discovery"):
@@ -243,12 +243,12 @@
         client = await one.connect()
         answer = await client.ask()
         assert answer is not None and answer.status == 200
-        await until(lambda: len(traced()) == 1)
+        await wait_until(lambda: len(traced()) == 1)
         leaver = await two.connect()
         leaver.send()
-        await until(lambda: bool(hangs.got))
+        await wait_until(lambda: bool(hangs.got))
         leaver.writer.close()
-        await until(lambda: len(traced()) == 2)
+        await wait_until(lambda: len(traced()) == 2)
         served, left = traced()
         assert (served.end, [t.outcome for t in served.tries]) == (End.SERVED, ["served"])
         assert served.class_name == "read" and served.tries[0].server == "s0" and served.txn != "-"
