--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -178,7 +178,7 @@
     return answer
 
 
-def program(path: Path, *command: str) -> subprocess.Popen[str]:
+def start_process(path: Path, *command: str) -> subprocess.Popen[str]:
     """Start the balancer as a process with the configuration at `path`; its log can be read from stderr."""
     return subprocess.Popen(
         command or (sys.executable, "-m", "passpost"),
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,8 +20,8 @@
     config_data,
     listing,
     member,
-    program,
     run,
+    start_process,
     wait_until,
 )
 
@@ -44,7 +44,7 @@
         data["settings"]["discovery"] = "ask"
         path = tmp_path / "config.json"
         path.write_text(json.dumps(data))
-        with program(path) as process:
+        with start_process(path) as process:
             try:
                 assert process.stderr is not None
                 resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -35,9 +35,9 @@
     config_data,
     member,
     never_reply,
-    program,
     reply_when_released,
     run,
+    start_process,
     wait_until,
 )
 from tests.virtual import run_simulated
@@ -544,7 +544,9 @@
     run_line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with program(path, "/bin/sh", "-c", run_line.replace(".venv/bin/python", sys.executable)) as process:
+    with start_process(
+        path, "/bin/sh", "-c", run_line.replace(".venv/bin/python", sys.executable)
+    ) as process:
         assert process.stderr is not None
         while b"python" not in Path(f"/proc/{process.pid}/cmdline").read_bytes().split(b"\0")[0]:
             pass  # still the shell
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -27,9 +27,9 @@
     config_data,
     member,
     never_reply,
-    program,
     reply_when_released,
     run,
+    start_process,
     wait_until,
 )
 from umberworks.interface import RequestArrived
@@ -695,7 +695,7 @@
         members = [member("s0", f"127.0.0.1:{upstream.getsockname()[1]}")]
         good = config_data(members)
         path.write_text(json.dumps(good))
-        with program(path) as process:
+        with start_process(path) as process:
             assert process.stderr is not None
             address = _wait_for(process.stderr, "serves on").split()[-1]
             path.write_text("{}")
@@ -721,7 +721,7 @@
 def test_sigterm_exits_with_status_0(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with program(path) as process:
+    with start_process(path) as process:
         assert process.stderr is not None
         assert "serves on" in process.stderr.readline()
         process.send_signal(signal.SIGTERM)
