--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -213,12 +213,10 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             assert await (await b.connect()).ask() is not None
-            reply_when_released = [c._transport for c in b.node.server.connections]
-            reply_when_released += [
-                c._transport for pool in b.node.upstreams._pools.values() for c in pool.open
-            ]
-            assert len(reply_when_released) == 2
-            for transport in reply_when_released:
+            transports = [c._transport for c in b.node.server.connections]
+            transports += [c._transport for pool in b.node.upstreams._pools.values() for c in pool.open]
+            assert len(transports) == 2
+            for transport in transports:
                 assert transport is not None
                 assert transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
