--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -127,7 +127,7 @@
     def cut(self) -> None:
         """End the connection so that the client sees an incomplete body.
 
-        The connection closes before the announced length or the last chunk; a close-delimited body is ended by a reset.
+        The connection closes before the announced length or the last chunk. A close-delimited body ends by a reset.
         """
         self._connection.abort(reset=self.close_delimited)
 
@@ -169,9 +169,8 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set up the connection of a client that has connected."""
-        self._transport = cast(
-            asyncio.Transport, transport
-        )  # uvloop's transports do not derive from asyncio.Transport
+        # uvloop's transports do not derive from asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._peer_closed = self._server.host.ending(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -237,9 +236,8 @@
         """Start reading a request."""
         self._target, self._headers, self._body = b"", [], bytearray()
         self._reading, self._in_head = True, True
-        if (
-            self._open_request is None and self._had_valid_request
-        ):  # the first request is timed from the connect
+        # The first request is timed from the connect.
+        if self._open_request is None and self._had_valid_request:
             self.state_since = self._monotonic()
 
     def on_url(self, url: bytes) -> None:
@@ -312,9 +310,8 @@
         if on:
             self._paused_at = now
         elif self._paused:
-            self._body_since += (
-                now - self._paused_at
-            )  # time in which reading was paused does not count against the client
+            # The time in which reading was paused does not count against the client.
+            self._body_since += now - self._paused_at
         self._paused = on
         if self._transport is not None and not self._transport.is_closing():
             if on:
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -43,7 +43,7 @@
     max_body: int  # upper bound for an answer's body, in bytes
     max_buffered_body: int  # answers up to this size are buffered and passed on whole
     too_long: Answer | None  # sent to the client in place of an answer beyond `max_body`
-    long: dict[Connection, None]  # connections that send_request a long body
+    long: dict[Connection, None]  # connections that carry a long body
 
     def outcome(self, answer: Answer) -> Outcome:
         """Which outcome an answer means for its attempt."""
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -341,7 +341,7 @@
                 rest = await client.reader.read(-1)
             except ConnectionResetError:
                 rest = b""
-            # The client can apply_list_change that the answer is incomplete.
+            # The client can tell that the answer is incomplete.
             assert not rest.endswith(b"0\r\n\r\n") and len(rest) < 100_000
             await wait_until(lambda: upstream.closed == 1 and b.node.engine.is_idle())
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -252,9 +252,8 @@
                     else:
                         peer.send(sent_after_answer)
                     attempt = c.send()
-                    assert (
-                        attempt.connection is None and c.upstreams._open_count == 1
-                    )  # a new connection is being opened
+                    # A new connection is being opened.
+                    assert attempt.connection is None and c.upstreams._open_count == 1
                     attempt.cancel()
 
     run(test())
