--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -302,7 +302,7 @@
             return self._begin(number, request, index, answer, length, source)
 
         attempt = self._upstreams.send(server, request.outgoing, action.timeout_ms / 1000, done, may_go)
-        attempt.begin = begin
+        attempt.on_answer_start = begin
         if not attempt.is_over():
             request.attempts[index] = attempt
 
--- a/passpost/upstreams/attempt.py
+++ b/passpost/upstreams/attempt.py
@@ -77,7 +77,7 @@
         if timeout < math.inf:  # infinite while the request's body is still arriving
             self._timer = loop.call_later(timeout, self._timed_out)
         self._done: DoneCallback | None = done
-        self.begin: StartCallback = lambda answer, length, source: None
+        self.on_answer_start: StartCallback = lambda answer, length, source: None
         self.sink: Sink | None = None  # set once the answer is being streamed
 
     def limit(self, timeout: float) -> None:
@@ -92,7 +92,7 @@
         """Start to stream the answer and stop the time-out; false if nobody wants the answer any more."""
         if self._timer is not None:
             self._timer.cancel()
-        self.sink = self.begin(answer, length, source)
+        self.sink = self.on_answer_start(answer, length, source)
         return self.sink is not None
 
     def answer_deadline(self, due: float) -> float:
