--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
 """Helpers for the socket tests: a balancer on ephemeral loopback ports, its clients and its upstreams.
 
-Nothing here sleeps for a fixed time: helpers poll for the state that they expect, for at most PATIENCE seconds.
+Nothing here sleeps for a fixed time: helpers poll for the state that they expect, for at most TIMEOUT_S seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from passpost.node import Node
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # a test that hangs fails after this; no test depends on the value
+TIMEOUT_S = 20.0  # a test that hangs fails after this; no test depends on the value
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
@@ -32,7 +32,7 @@
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await test
 
     uvloop.run(bounded())
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -22,7 +22,7 @@
 
 from passpost.workers.plan import Exit, Plan, SendSignal
 from tests.cli.test_operator import free_port, running
-from tests.loopback import PATIENCE, config_data, member
+from tests.loopback import TIMEOUT_S, config_data, member
 from tests.workers.test_run import CONFIG_TEXT
 
 BETWEEN_S = 0.0005  # the interpreter takes some 20 ms for its own end
@@ -35,7 +35,7 @@
         assert line, "it did not start"
     Thread(target=process.stderr.read, daemon=True).start()  # a full pipe would hold up what it logs
     process.send_signal(signal.SIGTERM)
-    ends = time.monotonic() + PATIENCE
+    ends = time.monotonic() + TIMEOUT_S
     while process.poll() is None:
         assert time.monotonic() < ends, "it does not end"
         for number in numbers:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -18,8 +18,8 @@
 from passpost.listing import parse_address
 from tests.loopback import (
     OK,
-    PATIENCE,
     ROOT,
+    TIMEOUT_S,
     FakeServer,
     ReceivedRequest,
     Writer,
@@ -398,10 +398,10 @@
             idle, busy = await b.connect(), await b.connect()
             busy.send(X_Txn="slow")
             await wait_until(lambda: len(upstream.got) == 1)
-            drained = asyncio.get_running_loop().create_task(b.node.server.drain(PATIENCE))
+            drained = asyncio.get_running_loop().create_task(b.node.server.drain(TIMEOUT_S))
             await asyncio.sleep(0)
             late = await b.connect()
-            b.node.server._deadline -= PATIENCE - listener.CLOSING_PHASE_S  # start the closing phase
+            b.node.server._deadline -= TIMEOUT_S - listener.CLOSING_PHASE_S  # start the closing phase
             await wait_until(lambda: b.node.server.closing)
             answer = await late.ask()
             assert answer is not None and answer.status == 200 and not answer.reusable
@@ -521,7 +521,7 @@
 
 
 def test_client_that_does_not_read_is_not_read_from(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", PATIENCE)
+    monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", TIMEOUT_S)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
@@ -546,7 +546,7 @@
 def test_unread_answer_delays_neither_service_nor_drain(
     monkeypatch: pytest.MonkeyPatch, draining: bool
 ) -> None:
-    monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", PATIENCE)
+    monkeypatch.setattr(connection, "UNSENT_TIMEOUT_S", TIMEOUT_S)
 
     async def test() -> None:
         async with balancer(FakeServer()) as b:
