--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -228,7 +228,7 @@
         self._writers.append(writer)
         return Client(reader, writer)
 
-    def hang_up(self) -> None:
+    def disconnect_clients(self) -> None:
         for writer in self._writers:
             writer.close()
 
@@ -247,7 +247,7 @@
     try:
         yield started
     finally:
-        started.hang_up()
+        started.disconnect_clients()
         started.node.discovery.stop()
         started.node.upstreams.stop()
         for upstream in upstreams:
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -50,7 +50,7 @@
     try:
         yield balancer, node
     finally:
-        balancer.hang_up()
+        balancer.disconnect_clients()
         node.endpoint.close()
         node.close()
         for upstream in upstreams:
@@ -326,7 +326,7 @@
             assert answer is not None and answer.status == 200
             again = await operated(config_data([member("s0", upstream.host_port)]), tmp_path)
             assert again.server.port == old.server.port
-            balancer.hang_up()
+            balancer.disconnect_clients()
             await old.stop()
             assert (await (await Balancer(again).connect()).ask()) is not None
             again.endpoint.close()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -350,7 +350,7 @@
                 assert answer is not None and answer.status == 200 and answer.reusable
             ready = await first.ask("/health/ready")
             assert ready is not None and ready.status == 503
-            b.hang_up()
+            b.disconnect_clients()
             await drained  # no connection is left to wait for
 
     run(test())
@@ -384,7 +384,7 @@
                 assert answer is not None and answer.status == 200 and answer.reusable
             answer = await callers[6].ask()
             assert answer is not None and answer.status == 200
-            b.hang_up()
+            b.disconnect_clients()
             await drained
 
     run(test())
