--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -53,7 +53,7 @@
 
                 async def ask() -> int:
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    answer = await Client(reader, writer).ask()
+                    answer = await Client(reader, writer).request()
                     writer.close()
                     return answer.status if answer is not None else 0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -279,7 +279,7 @@
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
-                answer = await client.ask(target)
+                answer = await client.request(target)
                 assert answer is not None and answer.status == 200
 
     run(test())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -88,9 +88,9 @@
         async with balancer(FakeServer(OK), change=short) as one, balancer(FakeServer(OK)) as other:
             for b, mine, theirs in ((one, "/glance", "/read"), (other, "/read", "/glance")):
                 client = await b.connect()
-                answer = await client.ask(mine)
+                answer = await client.request(mine)
                 assert answer is not None and answer.status == 200
-                answer = await client.ask(theirs)
+                answer = await client.request(theirs)
                 assert answer is not None and answer.status == 404
             nodes: tuple[Node, Node] = (one.node, other.node)
             assert [round(n.within(), 3) for n in nodes] == [0.6, 3.4]
