--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -95,36 +95,36 @@
 
     def start(self) -> None:
         """Start to accept connections."""
-        self._resume()
+        self._start_accepting()
         self._sweep()
 
     def forget(self, connection: Connection) -> None:
         """Remove a connection that has closed; another may be accepted in its place."""
         self.connections.pop(connection, None)
         if self._socket.fileno() >= 0 and len(self.connections) < self._max_open:
-            self._resume()
+            self._start_accepting()
 
     def close(self) -> None:
         """Close the listening socket before any connection has been accepted."""
         self._socket.close()
 
-    async def drain(self, within: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
-        """Shut down without losing a request: all are answered `within` this many seconds.
+    async def drain(self, within_s: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
+        """Shut down without losing a request: all are answered `within_s` seconds.
 
         At first only readiness ends and clients keep their connections. In the last `closing_phase_s` seconds of
         that time each answer closes its connection. Connections in the accept queue count as accepted, so the queue
         is emptied up to the end.
         """
-        await self._stop_once(self._drain(within, closing_phase_s))
+        await self._stop_once(self._drain(within_s, closing_phase_s))
 
-    async def hand_over(self, within: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
+    async def hand_over(self, within_s: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
         """Shut down as `drain` does while another process accepts from the same listening socket.
 
         New connections go to that process at once, so each answer here may close its connection. Idle connections
         stay until the last `closing_phase_s` seconds: their clients are about to drop them, and a close could cross
         a request.
         """
-        await self._stop_once(self._hand_over(within, closing_phase_s))
+        await self._stop_once(self._hand_over(within_s, closing_phase_s))
 
     async def _stop_once(self, stop: Coroutine[Any, Any, None]) -> None:
         """Run this shutdown, or wait for the one in progress: the time to the kill counts from the first SIGTERM."""
@@ -134,26 +134,26 @@
             stop.close()
         await asyncio.shield(self._stop_task)
 
-    async def _drain(self, within: float, closing_phase_s: float) -> None:
+    async def _drain(self, within_s: float, closing_phase_s: float) -> None:
         self.end_lame_duck()
-        self.draining, self._deadline = True, self.monotonic() + within
+        self.draining, self._deadline = True, self.monotonic() + within_s
         self._new_connections_until = self.monotonic() + NEW_CONNECTIONS_AFTER_STOP_S
-        await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, within - LATE_REQUEST_S))
+        await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, within_s - LATE_REQUEST_S))
         while self.connections and self.time_left() > closing_phase_s:
             await asyncio.sleep(DRAIN_POLL_S)
         self.closing = True
         # All connections may be busy, and each one that ends lets another in. Or descriptors may be used up for good.
         while not self._accept() and self.time_left() > LATE_REQUEST_S:
             await asyncio.sleep(DRAIN_POLL_S)
-        self._pause()
+        self._stop_accepting()
         self._socket.close()
         await asyncio.sleep(LATE_REQUEST_S)
         await self._finish_requests()
 
-    async def _hand_over(self, within: float, closing_phase_s: float) -> None:
+    async def _hand_over(self, within_s: float, closing_phase_s: float) -> None:
         self.end_lame_duck()
-        self._deadline, self.closing = self.monotonic() + within, True
-        self._pause()
+        self._deadline, self.closing = self.monotonic() + within_s, True
+        self._stop_accepting()
         self._socket.close()
         while self.connections and self.time_left() > closing_phase_s:
             await asyncio.sleep(DRAIN_POLL_S)
@@ -223,12 +223,12 @@
         """Seconds left for open requests: after a drain the process may be killed."""
         return self._deadline - self.monotonic()
 
-    def _resume(self) -> None:
+    def _start_accepting(self) -> None:
         if not self._accepting:
             self._accepting = True
             asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
-    def _pause(self) -> None:
+    def _stop_accepting(self) -> None:
         if self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._socket)
@@ -243,7 +243,7 @@
             full = len(self.connections) >= self._max_open
             evicted = self._find_evictable() if full else None
             if full and evicted is None:
-                self._pause()
+                self._stop_accepting()
                 return False
             try:
                 client, _ = self._socket.accept()
@@ -251,7 +251,7 @@
                 return True
             except OSError as error:  # no descriptor is left, or the client has gone already
                 log.warning("accept: %s", error)
-                self._pause()  # the next sweep tries again
+                self._stop_accepting()  # the next sweep tries again
                 return False
             if evicted is not None:
                 self.connections.pop(evicted, None)
@@ -291,4 +291,4 @@
             connection.sweep(now)
         if self._socket.fileno() >= 0:
             # Also after the limit was reached or descriptors ran out: a connection may be evicted by now.
-            self._resume()
+            self._start_accepting()
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -315,7 +315,7 @@
             await wait_until(lambda: old._successors == 1)
             assert old.server._max_open < callers and old.upstreams._max_open < upstreams
             new.endpoint.close()
-            new.server._pause()
+            new.server._stop_accepting()
             new.server.close()
             new.close()
             for link in new._links:
@@ -330,7 +330,7 @@
             await old.stop()
             assert (await (await Balancer(again).connect()).request()) is not None
             again.endpoint.close()
-            again.server._pause()
+            again.server._stop_accepting()
             again.server.close()
             again.close()
 
