--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -15,7 +15,7 @@
 
 from passpost.engine import Engine
 from passpost.host import Host
-from passpost.http1 import MAX_HEAD, Answer, Headers, end_to_end, write_headers
+from passpost.http1 import MAX_HEAD_BYTES, Answer, Headers, end_to_end, write_headers
 from passpost.streams import Sink, Source, Upload
 from passpost.upstreams.attempt import OutgoingRequest
 from passpost.validation import BadRequestError, Call, Check
@@ -124,7 +124,7 @@
             self._connection.write(b"0\r\n\r\n")
         self._connection.finish_streamed()
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         """End the connection so that the client sees an incomplete body.
 
         The connection closes before the announced length or the last chunk. A close-delimited body ends by a reset.
@@ -171,7 +171,7 @@
         """Set up the connection of a client that has connected."""
         # uvloop's transports do not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
-        self._peer_closed = self._server.host.ending(transport)
+        self._peer_closed = self._server.host.end_probe(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Clean up after either side has closed the connection."""
@@ -186,7 +186,7 @@
         self._release_id()
         if self._request_number is not None:
             number, self._request_number = self._request_number, None
-            self._engine.left(number)
+            self._engine.client_disconnected(number)
 
     def release_if_left(self) -> bool:
         """Withdraw the open request if its client has left; true if its id may now be used again."""
@@ -221,7 +221,7 @@
                 self._queue[-1].keep_alive = False
         except httptools.HttpParserError:
             self._error_status = self._error_status or 400
-        if self._in_head and self._head_size > MAX_HEAD:
+        if self._in_head and self._head_size > MAX_HEAD_BYTES:
             self._error_status = self._error_status or 431
         if self._error_status and self._upload is not None:
             self._abort_upload()
@@ -280,7 +280,7 @@
     def on_body(self, data: bytes) -> None:
         """Collect a piece of the body, or pass it on if the body is long."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         if seen + len(data) > (
             self._server.max_body if self._parsed_call is not None else self._server.max_buffered_body
         ):
@@ -328,7 +328,7 @@
             number, self._request_number, self._open_request = self._request_number, None, None
             self._release_id()
             if number is not None:
-                self._engine.left(number)
+                self._engine.client_disconnected(number)
         elif request in self._queue:
             self._queue.remove(request)
         request.upload.drop()
@@ -383,10 +383,10 @@
             return
         upload, now = request.upload, self._monotonic()
         # Time spent in the queue behind another request.
-        waited = now - request.received_at if upload is None or upload.whole else 0.0
+        waited = now - request.received_at if upload is None or upload.is_complete else 0.0
         remaining = min(call.remaining - waited, self._server.time_left())
         if remaining <= 0:
-            self._engine.turned_back(call.class_name)
+            self._engine.request_expired(call.class_name)
             self.fail(504)
             return
         # An upstream would take the second request for a copy of the first. Nothing that follows it on this
@@ -401,7 +401,7 @@
         self._server.open_ids[call.txn] = self
         length = len(request.body) if upload is None else upload.length
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
-        passed_on = write_headers(call.passed_on)
+        passed_on = write_headers(call.forwarded_headers)
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, passed_on, framing)
         is_head = call.method == b"HEAD"
         outgoing = OutgoingRequest(
@@ -414,7 +414,7 @@
                 self._transport.resume_reading()
         free = self._server.free_connections()
         self._engine = self._server.engine
-        number = self._engine.arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
+        number = self._engine.request_arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
         if self._open_request is request:  # unless it has been answered already
             self._request_number = number
 
@@ -578,14 +578,14 @@
     def owes_answer(self) -> bool:
         """Whether a request that has been received whole waits for its answer; a stream has begun its own."""
         requests = (r for r in (self._open_request, *self._queue) if r is not None)
-        return any(r.upload is None or r.upload.whole for r in requests) and not self.is_streaming()
+        return any(r.upload is None or r.upload.is_complete for r in requests) and not self.is_streaming()
 
     def has_unread(self) -> bool:
         """Whether received bytes are unread; a request among them counts as accepted."""
         return (
             self._transport is not None
             and not (self._lingering or self._transport.is_closing())
-            and bool(self._server.host.watcher(self._transport)(0))
+            and bool(self._server.host.unread_probe(self._transport)(0))
         )
 
     def close_if_idle(self) -> None:
@@ -624,7 +624,7 @@
     def _is_body_too_slow(self, now: float) -> bool:
         """Whether the body that is being read arrives below the minimum rate."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         return not self._paused and now - self._body_since > BODY_GRACE_S + seen / MIN_BODY_BYTES_PER_S
 
     def sweep(self, now: float) -> None:
--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -12,8 +12,8 @@
 from passpost.callers.connection import Connection
 from passpost.engine import Engine
 from passpost.host import HOST, Host
-from passpost.http1 import MAX_LONG, Address, Headers
-from passpost.streams import LONG
+from passpost.http1 import MAX_STREAM_BYTES, Address, Headers
+from passpost.streams import STREAM_ABOVE_BYTES
 from passpost.validation import Check
 from passpost.validation import check as platform_check
 
@@ -47,9 +47,9 @@
         max_open: int,
         host: Host = HOST,
         check: Check | None = None,
-        max_body: int = MAX_LONG,
+        max_body: int = MAX_STREAM_BYTES,
         name: bytes = b"",
-        max_buffered_body: int = LONG,
+        max_buffered_body: int = STREAM_ABOVE_BYTES,
     ) -> None:
         """Without `check` clients follow the platform's protocol; `name` is the Server header of health answers.
 
@@ -62,7 +62,7 @@
         self.host, self.monotonic = host, host.monotonic
         self.draining, self.closing = False, False  # no longer ready; each answer closes its connection
         self._deadline, self._new_connections_until = math.inf, math.inf
-        self._max_open, self._accepts_per_turn = max_open, host.accept_at_once
+        self._max_open, self._accepts_per_turn = max_open, host.accepts_per_turn
         # In order of arrival: the order of a set would vary between runs.
         self.connections: dict[Connection, None] = {}
         self.open_ids: dict[bytes, Connection] = {}
@@ -239,7 +239,7 @@
         At the limit the connection of the lowest priority is evicted, one per call, as its descriptor is free only
         after that. In a drain more are evicted, as time is short. If all are busy, the queue waits.
         """
-        for _ in range(Host.accept_at_once if self.draining else self._accepts_per_turn):
+        for _ in range(Host.accepts_per_turn if self.draining else self._accepts_per_turn):
             full = len(self.connections) >= self._max_open
             evicted = self._find_evictable() if full else None
             if full and evicted is None:
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -122,7 +122,7 @@
             self._transport.write(
                 piece if upload.length is not None else b"%x\r\n%b\r\n" % (len(piece), piece)
             )
-        if upload.whole and upload.is_empty() and self.unwritten and not self._write_blocked:
+        if upload.is_complete and upload.is_empty() and self.unwritten and not self._write_blocked:
             if upload.length is None:
                 if not attempt.request.is_wanted():
                     return
@@ -202,7 +202,7 @@
         # Uvloop's transports do not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=0)
-        self._has_unread = self._owner.host.watcher(transport)
+        self._has_unread = self._owner.host.unread_probe(transport)
 
     def pause_writing(self) -> None:
         """Part of the request has not been sent: the upstream cannot have started it."""
@@ -238,12 +238,12 @@
             else:
                 attempt.end(Outcome.BROKEN)
             return
-        if reader.started:
+        if reader.is_streaming:
             self._pass_on(attempt, reader)
             if self._attempt is not attempt:
                 return  # the answer is not wanted, or was cut
         if answer is None:
-            if self._stream_timer is None and not reader.started and reader.is_settling():
+            if self._stream_timer is None and not reader.is_streaming and reader.has_unknown_length():
                 self._stream_timer = asyncio.get_running_loop().call_later(
                     UNKNOWN_LENGTH_DELAY_S, self._start_streaming
                 )
@@ -264,7 +264,7 @@
             if not attempt.start(reader.head(), reader.length, self):
                 attempt.end(Outcome.CANCELLED)
                 return
-        if attempt.sink is not None and (data := reader.take()):
+        if attempt.sink is not None and (data := reader.take_body()):
             self._streamed_bytes += len(data)
             attempt.sink.write(data)
 
@@ -273,8 +273,8 @@
         self._stream_timer = None
         attempt, reader = self._attempt, self._reader
         if attempt is not None and reader is not None:
-            reader.start()
-            if reader.started:
+            reader.start_streaming()
+            if reader.is_streaming:
                 self._pass_on(attempt, reader)
 
     def _cancel_stream_timer(self) -> None:
@@ -291,7 +291,7 @@
         attempt, reader = self._attempt, self._reader
         answer = None
         if reader is not None and not self.unwritten and not self._was_reset():
-            answer = reader.ended()
+            answer = reader.completed_by_close()
         if attempt is not None and answer is not None:
             self._cancel_stream_timer()
             attempt.end(self._owner.outcome(answer), answer)
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable, Iterable
 
 from passpost.host import HOST, Host
-from passpost.http1 import MAX_LONG, Address, Answer
-from passpost.streams import LONG
+from passpost.http1 import MAX_STREAM_BYTES, Address, Answer
+from passpost.streams import STREAM_ABOVE_BYTES
 from passpost.upstreams.attempt import Attempt, DoneCallback, OutgoingRequest
 from passpost.upstreams.connection import Connection, Pool
 from umberworks.interface import Outcome
@@ -42,8 +42,8 @@
         max_open: int,
         host: Host = HOST,
         outcome: Callable[[Answer], Outcome] = platform_outcome,
-        max_body: int = MAX_LONG,
-        max_buffered_body: int = LONG,
+        max_body: int = MAX_STREAM_BYTES,
+        max_buffered_body: int = STREAM_ABOVE_BYTES,
         too_long: Answer | None = None,
     ) -> None:
         """Answers of up to `max_buffered_body` bytes are passed on whole; longer ones are streamed, up to `max_body`.
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -67,7 +67,7 @@
     """A host whose listening sockets were passed by the supervisor."""
 
     # A worker that accepts many at once is slow for all of them, while the other workers have none.
-    accept_at_once = 1
+    accepts_per_turn = 1
 
     def __init__(self, descriptors: Mapping[str, int]) -> None:
         self._descriptors = descriptors
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -13,7 +13,7 @@
 import pytest
 
 from passpost.host import HOST
-from passpost.streams import LONG
+from passpost.streams import STREAM_ABOVE_BYTES
 from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, balancer, run, wait_until
 from tests.test_long import PATTERN, read_answer
 
@@ -62,7 +62,7 @@
     return connection._transport
 
 
-@pytest.mark.parametrize("size", [0, 10, LONG, LONG + 1, len(PATTERN)])
+@pytest.mark.parametrize("size", [0, 10, STREAM_ABOVE_BYTES, STREAM_ABOVE_BYTES + 1, len(PATTERN)])
 @pytest.mark.parametrize("target", ["/read", "/pay"])
 def test_close_completes_the_answer(size: int, target: str) -> None:
     # /pay is not safe to repeat: a second attempt would run it twice.
@@ -86,7 +86,11 @@
     # The client is slower than the upstream, so the last bytes and the end are read in one turn of the loop. libuv then
     # reports a reset as a close, and the client would take half an answer for the whole.
     async def test() -> None:
-        upstream = CloseDelimitedUpstream(PATTERN[: LONG + 1], PATTERN[LONG + 1 : LONG + 1000], resets)
+        upstream = CloseDelimitedUpstream(
+            PATTERN[: STREAM_ABOVE_BYTES + 1],
+            PATTERN[STREAM_ABOVE_BYTES + 1 : STREAM_ABOVE_BYTES + 1000],
+            resets,
+        )
         async with balancer(upstream) as b:
             loop = asyncio.get_running_loop()
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
@@ -98,7 +102,7 @@
             transport.pause_reading()
             upstream.go_on.set()
             await upstream.ended.wait()
-            await wait_until(lambda: bool(HOST.ending(transport)(0)))
+            await wait_until(lambda: bool(HOST.end_probe(transport)(0)))
             transport.resume_reading()
             was_reset = False
             try:
@@ -108,7 +112,9 @@
                 was_reset = True
             client.close()
             if version == "1.0":  # there is no last chunk whose absence would show
-                assert was_reset is resets and (resets or got.endswith(PATTERN[LONG + 1 : LONG + 1000]))
+                assert was_reset is resets and (
+                    resets or got.endswith(PATTERN[STREAM_ABOVE_BYTES + 1 : STREAM_ABOVE_BYTES + 1000])
+                )
             else:
                 assert got.endswith(b"\r\n0\r\n\r\n") is not resets
             await wait_until(b.node.engine.is_idle)
@@ -116,7 +122,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("size", [0, 10, LONG])
+@pytest.mark.parametrize("size", [0, 10, STREAM_ABOVE_BYTES])
 def test_reset_makes_a_buffered_answer_incomplete(size: int) -> None:
     # Nothing has been sent to the client, so another server is asked; but not for a request that may have run and must
     # not run twice.
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -364,7 +364,9 @@
             await client.reader.readuntil(b"\r\n\r\n")
             (request,) = b.node.engine._requests.values()
             await wait_until(
-                lambda: asyncio.get_running_loop().time() > request.due and request.guard is not None
+                lambda: (
+                    asyncio.get_running_loop().time() > request.due_s and request.deadline_timer is not None
+                )
             )
             await asyncio.sleep(0)
             rest.set()
@@ -389,7 +391,7 @@
 async def wait_for_unread_bytes(b: Balancer) -> None:
     """Wait until bytes from a client lie in the kernel."""
     transports = [c._transport for c in b.node.server.connections if c._transport is not None]
-    await wait_until(lambda: any(HOST.watcher(t)(0) for t in transports))
+    await wait_until(lambda: any(HOST.unread_probe(t)(0) for t in transports))
 
 
 def test_idle_timeout_spares_connection_with_unread_request() -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -167,7 +167,7 @@
             bad.writer.write(raw)
             answer = await bad.answer()
             assert answer is not None and answer.status == status
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
             fine = await good.request()
             assert fine is not None and fine.status == 200
 
@@ -203,7 +203,7 @@
             client.writer.write(head + framing + b"\r\n" + SMUGGLED)
             raw = await client.reader.read()
             assert raw.startswith(b"HTTP/1.1 400 ") and raw.count(b"HTTP/1.1 ") == 1
-            assert upstream.got == [] and b.node.engine._count == 0
+            assert upstream.got == [] and b.node.engine._last_number == 0
 
     run(test())
 
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -11,7 +11,7 @@
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import listen
-from passpost.streams import LONG
+from passpost.streams import STREAM_ABOVE_BYTES
 from tests.loopback import config_data, member
 from tests.virtual import run_simulated
 
@@ -89,10 +89,10 @@
 def test_long_answer_is_not_cut_while_it_progresses(pause: float) -> None:
     # One byte per step is below any minimum rate: with a time allowance by bytes alone, such an answer was cut 1.6 s
     # after its request's deadline.
-    body = [(0.1, bytes(LONG + 1)), *[(pause, b"x")] * 20]
-    size = LONG + 1 + 20
+    body = [(0.1, bytes(STREAM_ABOVE_BYTES + 1)), *[(pause, b"x")] * 20]
+    size = STREAM_ABOVE_BYTES + 1 + 20
     got, took = answer_with_pieces([head(size), *body], size)
-    assert got == bytes(LONG + 1) + b"x" * 20 and took >= 20 * pause
+    assert got == bytes(STREAM_ABOVE_BYTES + 1) + b"x" * 20 and took >= 20 * pause
 
 
 def test_stalled_long_answer_is_cut_after_the_longest_pause() -> None:
@@ -102,5 +102,7 @@
 
 
 def test_answer_that_may_still_be_short_ends_at_its_requests_deadline() -> None:
-    got, took = answer_with_pieces([head(LONG + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None)
+    got, took = answer_with_pieces(
+        [head(STREAM_ABOVE_BYTES + 1), (0.1, b"x" * 10), *[(0.05, b"x")] * 1000], None
+    )
     assert 0 < len(got) < 20 and 0.5 <= took <= 0.6
