--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -211,7 +211,7 @@
                 return answer
         return None
 
-    async def request(self, target: str = "/read", **more: Any) -> Answer | None:
+    async def fetch(self, target: str = "/read", **more: Any) -> Answer | None:
         self.send(target, **more)
         return await self.answer()
 
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -102,13 +102,13 @@
             assert (await call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             assert (await call(node, "PUT", "/_upstreams/detach?id=s9"))[0] == 404
             for _ in range(10):
-                assert (await client.request()) is not None
+                assert (await client.fetch()) is not None
             assert (len(first.got), len(second.got)) == (0, 10)
             seen = await figures(node)
             assert (seen["edge.upstreams_known"], seen["edge.upstreams_excluded"]) == (2, 1)
             assert (await call(node, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
             assert (await call(node, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
-            assert (await client.request()) is not None
+            assert (await client.fetch()) is not None
             assert len(first.got) == 1
 
     run(test())
@@ -128,7 +128,7 @@
         async with served(tmp_path, upstream) as (balancer, node):
             client = await balancer.connect()
             for target in ("/read", "/read", "/pay?bad"):
-                await client.request(target, method="POST" if "pay" in target else "GET")
+                await client.fetch(target, method="POST" if "pay" in target else "GET")
             held = await balancer.connect()
             held.send("/read?hold")
             await wait_until(lambda: len(upstream.got) == 4)
@@ -159,22 +159,22 @@
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
-            assert (await client.request()) is not None
+            assert (await client.fetch()) is not None
             for _ in range(2):
                 assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await ready(balancer) == 503
             assert (await call(node, "GET", "/_ready"))[0] == 503
-            answer = await client.request()  # a kept connection is of use for a while
+            answer = await client.fetch()  # a kept connection is of use for a while
             assert answer is not None and answer.status == 200
             assert await client.reader.read() == b""  # and then it ends, though nothing was asked on it
             await wait_until(lambda: not node.server.connections)
             late = await balancer.connect()
-            answer = await late.request()  # whoever comes all the same is served, once
+            answer = await late.fetch()  # whoever comes all the same is served, once
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(2):
                 assert (await call(node, "PUT", "/_lameduck/off"))[0] == 200
             assert await ready(balancer) == 200
-            assert (await (await balancer.connect()).request()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
 
     run(test())
 
@@ -185,7 +185,7 @@
         async with served(tmp_path, first, second) as (balancer, old):
             assert (await call(old, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             kept = await balancer.connect()
-            assert (await kept.request()) is not None
+            assert (await kept.fetch()) is not None
             new = await operated(
                 config_data([member("s0", first.host_port), member("s1", second.host_port)]), tmp_path
             )
@@ -197,11 +197,11 @@
             assert (await call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
             await wait_until(lambda: new._told.out == {"s1"})
             stopped = asyncio.ensure_future(old.stop())
-            answer = await kept.request()  # what is open stays of use, and ends with its answer
+            answer = await kept.fetch()  # what is open stays of use, and ends with its answer
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(30):
                 client = await Balancer(new).connect()
-                answer = await client.request()
+                answer = await client.fetch()
                 assert answer is not None and answer.status == 200
                 client.writer.close()
             await stopped
@@ -226,7 +226,7 @@
                 await wait_until(lambda new=new: not new._links)  # type: ignore[misc]
                 node = new
                 client = await Balancer(node).connect()
-                assert (await client.request()) is not None
+                assert (await client.fetch()) is not None
                 client.writer.close()
             await node.stop()
             assert sorted(p.suffix for p in tmp_path.iterdir()) == []
@@ -243,7 +243,7 @@
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
         async with served(tmp_path, first, second) as (balancer, _):
-            assert (await (await balancer.connect()).request()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
             assert (len(first.got), len(second.got)) == (0, 1)
 
     run(test())
@@ -285,7 +285,7 @@
     async def test() -> None:
         async with served(None, FakeServer()) as (balancer, node):
             assert (await call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
-            assert (await (await balancer.connect()).request()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
 
     run(test())
     assert "TMPDIR" in caplog.text
@@ -322,13 +322,13 @@
                 link.close()  # as the end of its process does
             await wait_until(lambda: old._successors == 0 and not old._links)
             assert (old.server._max_open, old.upstreams._max_open) == (callers, upstreams)
-            answer = await (await balancer.connect()).request()
+            answer = await (await balancer.connect()).fetch()
             assert answer is not None and answer.status == 200
             again = await operated(config_data([member("s0", upstream.host_port)]), tmp_path)
             assert again.server.port == old.server.port
             balancer.disconnect_clients()
             await old.stop()
-            assert (await (await Balancer(again).connect()).request()) is not None
+            assert (await (await Balancer(again).connect()).fetch()) is not None
             again.endpoint.close()
             again.server._stop_accepting()
             again.server.close()
@@ -346,7 +346,7 @@
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
-            assert (await client.request()) is not None
+            assert (await client.fetch()) is not None
             assert (await call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await client.reader.read() == b""
             await node.stop()
--- a/tests/test_close_delimited.py
+++ b/tests/test_close_delimited.py
@@ -137,11 +137,11 @@
 
         upstream.reply = reply_and_end
         async with balancer(upstream) as b:
-            answer = await (await b.connect()).request()
+            answer = await (await b.connect()).fetch()
             assert answer is not None and (answer.status, answer.body) == (200, b"ok")
             assert len(upstream.got) == 2
             upstream.got.clear()
-            answer = await (await b.connect()).request("/pay", method="POST")
+            answer = await (await b.connect()).fetch("/pay", method="POST")
             assert answer is not None and answer.status == 502 and len(upstream.got) == 1
 
     run(test())
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -55,7 +55,7 @@
 
                 async def ask() -> int:
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    answer = await Client(reader, writer).request()
+                    answer = await Client(reader, writer).fetch()
                     writer.close()
                     return answer.status if answer is not None else 0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -284,7 +284,7 @@
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
-                answer = await client.request(target)
+                answer = await client.fetch(target)
                 assert answer is not None and answer.status == 200
 
     run(test())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -78,12 +78,12 @@
         async with balancer(upstream) as b:
             other = await b.connect()
             # It leaves an idle connection to the upstream, on which a request would be sent at once.
-            assert await other.request(X_Txn="before") is not None
+            assert await other.fetch(X_Txn="before") is not None
             client = socket.create_connection(("127.0.0.1", b.node.server.port))
             client.sendall(b"".join(request_bytes("/read", f"gone{i}") for i in range(ahead)))
             client.close()  # before the event loop runs again
             await wait_until(lambda: b.node.server._tasks == set() and len(b.node.server.connections) == 1)
-            answer = await other.request(X_Txn="here")
+            answer = await other.fetch(X_Txn="here")
             assert answer is not None and answer.status == 200
             assert received_ids(upstream) == ["before", "here"]
             assert not b.node.server.open_ids and b.node.engine.is_idle()
@@ -124,7 +124,7 @@
             client.writer.write_eof()
             gate.open.set()
             await wait_until(lambda: not b.node.server.connections)
-            answer = await (await b.connect()).request(X_Txn="here")
+            answer = await (await b.connect()).fetch(X_Txn="here")
             assert answer is not None and answer.status == 200
             assert received_ids(upstream) == ["here"] and b.node.engine.is_idle()
 
@@ -249,7 +249,7 @@
         async with balancer(FakeServer(twice)) as b:
             client = await b.connect()
             for txn in ("one", "two", "three"):
-                answer = await client.request(X_Txn=txn)
+                answer = await client.fetch(X_Txn=txn)
                 assert answer is not None and answer.body == txn.encode()
 
     run(test())
@@ -398,7 +398,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
-            assert await client.request() is not None
+            assert await client.fetch() is not None
             set_reading(b, False)
             client.send()
             await wait_for_unread_bytes(b)
@@ -415,7 +415,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
-            assert await client.request() is not None
+            assert await client.fetch() is not None
             b.node.server.set_max_open(1)
             set_reading(b, False)
             client.send()
@@ -498,7 +498,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
-            assert await client.request() is not None
+            assert await client.fetch() is not None
             b.node.server.draining = b.node.server.closing = True
             b.node.server._deadline = b.node.server.monotonic()  # the time is up
             set_reading(b, False)
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -221,7 +221,7 @@
                 agent.reply = alternating_list(turn)
                 first = f"s{3_000 * (turn % 2)}"
                 while first not in b.node.discovery.members:
-                    answer = await client.request()
+                    answer = await client.fetch()
                     assert answer is not None and answer.status == 200
                 await wait_until(lambda: len(b.node.discovery.members) == 3_001)
             assert set(b.node.upstreams._pools) == set(b.node.discovery.members)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -41,7 +41,7 @@
         async with balancer(upstream) as b:
             client = await b.connect()
             body = bytes(range(256)) * 256
-            answer = await client.request(
+            answer = await client.fetch(
                 "/order?key=7f&x=%20",
                 method="POST",
                 body=body,
@@ -168,7 +168,7 @@
             answer = await bad.answer()
             assert answer is not None and answer.status == status
             assert upstream.got == [] and b.node.engine._last_number == 0
-            fine = await good.request()
+            fine = await good.fetch()
             assert fine is not None and fine.status == 200
 
     run(test())
@@ -212,7 +212,7 @@
     # With TCP_NODELAY nothing is held back in the kernel; bytes held there are lost in a reset.
     async def test() -> None:
         async with balancer(FakeServer()) as b:
-            assert await (await b.connect()).request() is not None
+            assert await (await b.connect()).fetch() is not None
             transports = [c._transport for c in b.node.server.connections]
             transports += [c._transport for pool in b.node.upstreams._pools.values() for c in pool.open]
             assert len(transports) == 2
@@ -232,10 +232,10 @@
             first, other = await b.connect(), await b.connect()
             first.send(X_Txn="slow")
             await wait_until(lambda: len(upstream.got) == 1)
-            answer = await other.request(X_Txn="slow")
+            answer = await other.fetch(X_Txn="slow")
             assert answer is not None and answer.status == 409
             release.set()
-            for answer in (await first.answer(), await first.request(X_Txn="slow")):
+            for answer in (await first.answer(), await first.fetch(X_Txn="slow")):
                 assert answer is not None and answer.status == 200
             assert len(upstream.got) == 2 and not b.node.server.open_ids
 
@@ -261,7 +261,7 @@
         upstream = FakeServer(never_reply)
         async with balancer(upstream) as b:
             client = await b.connect()
-            answer = await client.request("/pay", method="POST", X_Remaining="0.05")
+            answer = await client.fetch("/pay", method="POST", X_Remaining="0.05")
             assert answer is not None and answer.status == 504
             await wait_until(lambda: upstream.closed == 1)  # a late answer must not reach another request
             assert not b.node.engine._requests and not b.node.engine._balancer._requests
@@ -275,7 +275,7 @@
 
     async def test() -> None:
         async with balancer(change=crowd) as b:
-            answer = await (await b.connect()).request()
+            answer = await (await b.connect()).fetch()
             assert answer is not None and answer.status == 503
             assert (b"Retry-After", b"0.025") in answer.headers
 
@@ -287,7 +287,7 @@
     async def test() -> None:
         upstream = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         async with balancer(upstream) as b:
-            answer = await (await b.connect()).request("/pay", method="POST")
+            answer = await (await b.connect()).fetch("/pay", method="POST")
             assert answer is not None and answer.status == 502
             assert len(upstream.got) == 1
 
@@ -308,7 +308,7 @@
             module.handle = faulty  # type: ignore[method-assign]
             client = await b.connect()
             for target, method, status in (("/pay", "POST", 500), ("/read", "GET", 200)):
-                answer = await client.request(target, method=method)
+                answer = await client.fetch(target, method=method)
                 assert answer is not None and answer.status == status
             assert not b.node.engine._requests
 
@@ -319,7 +319,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             b.node.engine._balancer.handle = lambda event, now: []  # type: ignore[method-assign]
-            answer = await (await b.connect()).request(X_Remaining="0.05")
+            answer = await (await b.connect()).fetch(X_Remaining="0.05")
             assert answer is not None and answer.status == 504
             assert not b.node.engine._requests
 
@@ -330,7 +330,7 @@
     async def test() -> None:
         for upstreams, status in (((), 503), ((FakeServer(),), 200)):
             async with balancer(*upstreams) as b:
-                answer = await (await b.connect()).request("/health/ready")
+                answer = await (await b.connect()).fetch("/health/ready")
                 assert answer is not None and answer.status == status
 
     run(test())
@@ -346,9 +346,9 @@
             await wait_until(lambda: bool(b.node.server.connections))
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(100.0))
             for client in (first, first, await b.connect()):
-                answer = await client.request()
+                answer = await client.fetch()
                 assert answer is not None and answer.status == 200 and answer.reusable
-            ready = await first.request("/health/ready")
+            ready = await first.fetch("/health/ready")
             assert ready is not None and ready.status == 503
             b.disconnect_clients()
             await drained  # no connection is left to wait for
@@ -372,7 +372,7 @@
             await wait_until(lambda: sum(len(u.got) for u in upstreams) == 6)
             # The client of the last free connection but one may repeat its request at any rate.
             for _ in range(2):
-                refused = await callers[6].request()
+                refused = await callers[6].fetch()
                 assert refused is not None and refused.status == 503 and refused.reusable
                 assert b"Retry-After" in dict(refused.headers)
             for upstream in upstreams:
@@ -382,7 +382,7 @@
             for caller in callers[:6]:
                 answer = await caller.answer()
                 assert answer is not None and answer.status == 200 and answer.reusable
-            answer = await callers[6].request()
+            answer = await callers[6].fetch()
             assert answer is not None and answer.status == 200
             b.disconnect_clients()
             await drained
@@ -403,7 +403,7 @@
             late = await b.connect()
             b.node.server._deadline -= TIMEOUT_S - listener.CLOSING_PHASE_S  # start the closing phase
             await wait_until(lambda: b.node.server.closing)
-            answer = await late.request()
+            answer = await late.fetch()
             assert answer is not None and answer.status == 200 and not answer.reusable
             assert await idle.answer() is None  # closed between two requests
             assert not drained.done()
@@ -421,7 +421,7 @@
             client = await b.connect()
             drained = asyncio.get_running_loop().create_task(b.node.server.drain(0.05))
             await asyncio.sleep(0)
-            answer = await client.request("/pay", method="POST")  # without a drain it would wait for 9 s
+            answer = await client.fetch("/pay", method="POST")  # without a drain it would wait for 9 s
             assert answer is not None and answer.status == 504
             await drained
 
@@ -439,10 +439,10 @@
             b.node.server._max_open = 4
             first, second = await b.connect(), await b.connect()
             for client in (first, second):
-                answer = await client.request()
+                answer = await client.fetch()
                 assert answer is not None and answer.reusable  # two of four connections: not crowded yet
             third = await b.connect()
-            answer = await third.request()
+            answer = await third.fetch()
             assert answer is not None and answer.status == 200 and not answer.reusable
             fourth = await b.connect()
             fifth = await b.connect()
@@ -481,7 +481,7 @@
         async with balancer(upstream) as b:
             b.node.server._max_open = 2
             first, second = await b.connect(), await b.connect()
-            assert await first.request(X_Txn="quick") is not None
+            assert await first.fetch(X_Txn="quick") is not None
             second.send()
             await wait_until(lambda: len(upstream.got) == 2)
             third = await b.connect()
@@ -506,7 +506,7 @@
         async with balancer(FakeServer()) as b:
             b.node.server._max_open = 2
             used = await b.connect()
-            assert await used.request() is not None
+            assert await used.fetch() is not None
             without_request = await b.connect()
             without_request.writer.write(sent)
             await wait_until(lambda: sum(c._reading for c in b.node.server.connections) == bool(sent))
@@ -514,7 +514,7 @@
             another = await b.connect()
             assert await without_request.answer() is None
             for client in (used, another):
-                answer = await client.request()
+                answer = await client.fetch()
                 assert answer is not None and answer.status == 200
 
     run(test())
@@ -578,7 +578,7 @@
     async def test() -> None:
         upstream = FakeServer()
         async with balancer(upstream) as b:
-            answer = await (await b.connect()).request(target)
+            answer = await (await b.connect()).fetch(target)
             assert answer is not None and answer.status == 200
             assert upstream.got[0].line == f"GET {expected} HTTP/1.1"
 
@@ -590,12 +590,12 @@
     async def test() -> None:
         async with balancer(FakeServer()) as b:
             client = await b.connect()
-            assert await client.request() is not None
+            assert await client.fetch() is not None
             (connection,) = b.node.server.connections
             client.writer.write(b"\r\n")
             await wait_until(lambda: connection._head_size == 2)
             assert connection.is_idle()
-            answer = await client.request()
+            answer = await client.fetch()
             assert answer is not None and answer.status == 200
 
     run(test())
@@ -646,7 +646,7 @@
         async with balancer(FakeServer()) as b:
             client = await b.connect()
             if used:
-                assert await client.request() is not None
+                assert await client.fetch() is not None
             monkeypatch.setattr(connection, "HEAD_TIMEOUT_S", 0.05)
             monkeypatch.setattr(connection, "IDLE_TIMEOUT_S", 0.05)
             client.writer.write(first)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -86,9 +86,9 @@
         async with balancer(FakeServer(OK), change=short_deadlines) as one, balancer(FakeServer(OK)) as other:
             for b, own_path, foreign_path in ((one, "/glance", "/read"), (other, "/read", "/glance")):
                 client = await b.connect()
-                answer = await client.request(own_path)
+                answer = await client.fetch(own_path)
                 assert answer is not None and answer.status == 200
-                answer = await client.request(foreign_path)
+                answer = await client.fetch(foreign_path)
                 assert answer is not None and answer.status == 404
             nodes: tuple[Node, Node] = (one.node, other.node)
             assert [round(n.drain_time_s(), 3) for n in nodes] == [0.6, 3.4]
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -33,7 +33,7 @@
     async def test() -> None:
         async with balancer(FakeServer()) as one:
             client = await one.connect()
-            await client.request()
+            await client.fetch()
             first = asyncio.create_task(one.node.stop())
             await asyncio.sleep(0.5)
             left = one.node.server.time_left()
@@ -51,7 +51,7 @@
     async def test() -> None:
         async with served(tmp_path, FakeServer()) as (one, node):
             client = await one.connect()
-            await client.request()
+            await client.fetch()
             stopped = asyncio.create_task(node.stop())
             await asyncio.sleep(0.1)
             left = node.server.time_left()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -318,11 +318,11 @@
 
         broken, away, good = FakeServer(reset), FakeServer(TURNED_AWAY), FakeServer()
         async with balancer(broken, away) as b:
-            answer = await (await b.connect()).request("/pay", method="POST")
+            answer = await (await b.connect()).fetch("/pay", method="POST")
             assert answer is not None and answer.status in (502, 503)
             assert len(broken.got) <= 1  # it may have run, so it is not sent again
         async with balancer(away, good) as b:
-            answer = await (await b.connect()).request("/pay", method="POST")
+            answer = await (await b.connect()).fetch("/pay", method="POST")
             assert answer is not None and answer.status == 200  # a request that was turned away has not run
 
     run(test())
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -241,7 +241,7 @@
 
         one, two = node(good), node(hangs)
         client = await one.connect()
-        answer = await client.request()
+        answer = await client.fetch()
         assert answer is not None and answer.status == 200
         await wait_until(lambda: len(traced()) == 1)
         leaver = await two.connect()
