--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -63,7 +63,7 @@
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-TURNED_AWAY = b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+TURNED_AWAY_ANSWER = b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Upstream(Protocol):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -26,7 +26,7 @@
 from passpost.upstreams.pool import Upstreams
 from tests.loopback import (
     ROOT,
-    TURNED_AWAY,
+    TURNED_AWAY_ANSWER,
     Balancer,
     FakeServer,
     ReceivedRequest,
@@ -213,8 +213,8 @@
     async def test() -> None:
         release = asyncio.Event()
         upstreams = (
-            FakeServer(reply_when_released(release, TURNED_AWAY)),
-            FakeServer(reply_when_released(release, TURNED_AWAY)),
+            FakeServer(reply_when_released(release, TURNED_AWAY_ANSWER)),
+            FakeServer(reply_when_released(release, TURNED_AWAY_ANSWER)),
         )
         async with balancer(*upstreams) as b:
             client = await b.connect()
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,7 +17,7 @@
 from passpost.upstreams.pool import Upstreams
 from tests.loopback import (
     OK,
-    TURNED_AWAY,
+    TURNED_AWAY_ANSWER,
     FakeServer,
     ReceivedRequest,
     Writer,
@@ -74,9 +74,9 @@
     [
         (OK, Outcome.SERVED),
         (b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + OK, Outcome.SERVED),
-        (TURNED_AWAY, Outcome.TURNED_AWAY),
-        (TURNED_AWAY.replace(b"503", b"504"), Outcome.TURNED_AWAY),
-        (TURNED_AWAY.replace(b"503", b"500"), Outcome.ERROR),
+        (TURNED_AWAY_ANSWER, Outcome.TURNED_AWAY),
+        (TURNED_AWAY_ANSWER.replace(b"503", b"504"), Outcome.TURNED_AWAY),
+        (TURNED_AWAY_ANSWER.replace(b"503", b"500"), Outcome.ERROR),
         (b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 404 Oh\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
@@ -316,7 +316,7 @@
         async def reset(request: ReceivedRequest, writer: Writer) -> None:
             writer.close()
 
-        broken, away, good = FakeServer(reset), FakeServer(TURNED_AWAY), FakeServer()
+        broken, away, good = FakeServer(reset), FakeServer(TURNED_AWAY_ANSWER), FakeServer()
         async with balancer(broken, away) as b:
             answer = await (await b.connect()).fetch("/pay", method="POST")
             assert answer is not None and answer.status in (502, 503)
