--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -69,9 +69,8 @@
     host: Host
     monotonic: Callable[[], float]
     max_body: int  # upper bound for a request body, in bytes
-    max_buffered_body: (
-        int  # bodies up to this size are buffered, so that they can be sent again; longer ones are streamed
-    )
+    # Bodies up to this size are buffered, so that they can be sent again; longer ones are streamed.
+    max_buffered_body: int
     health_headers: Headers  # added to the answers to health probes
     closing: bool  # while true, each answer closes its connection
     open_ids: dict[bytes, Connection]  # ids of the requests that wait for an answer, with their connections
--- a/passpost/upstreams/connection.py
+++ b/passpost/upstreams/connection.py
@@ -114,7 +114,7 @@
             return
         while not self._write_blocked and self.unwritten and not self._transport.is_closing():
             if upload.is_ending() and not attempt.request.is_wanted():
-                return  # an incomplete request never runs
+                return  # without its last bytes the request never runs
             piece = upload.take()
             if piece is None:
                 break
@@ -199,7 +199,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set a high-water mark of 0, so that pause_writing reports every byte that has not been sent."""
-        # Uvloop's transports do not derive from asyncio.Transport.
+        # uvloop's transports do not derive from asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=0)
         self._has_unread = self._owner.host.unread_probe(transport)
--- a/passpost/upstreams/pool.py
+++ b/passpost/upstreams/pool.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-# Share of the upstream's idle timeout after which we close: a request must not cross its close.
+# Idle connections are closed after this share of the upstream's idle timeout, so that no request crosses its close.
 IDLE_TIMEOUT_SHARE = 0.5
 SWEEP_INTERVAL_S = 1.0
 # An upstream that closes after an answer, or sends more than the answer, does so within this.
