--- a/passpost/ops/counting.py
+++ b/passpost/ops/counting.py
@@ -10,7 +10,7 @@
 from passpost.http1 import Answer
 from passpost.ops.metrics import ClassCounters, Metrics
 from passpost.streams import Sink, Source
-from passpost.upstreams.attempt import Outgoing
+from passpost.upstreams.attempt import OutgoingRequest
 
 
 class _CountingCaller:
@@ -82,13 +82,13 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
         """As in `Engine`; also counts how the request ends and each attempt that is written in full."""
         counters = self.metrics.classes[class_name]
-        outgoing.written = partial(_count_attempt, counters)
+        outgoing.on_sent = partial(_count_attempt, counters)
         counting_caller = _CountingCaller(caller, counters, self.metrics)
         return super().request_arrived(
             class_name, tenant, remaining, outgoing, counting_caller, free_connections
--- a/passpost/ops/node.py
+++ b/passpost/ops/node.py
@@ -173,9 +173,9 @@
             case SetDrain(enabled):
                 log.info("operator's call: %s", "drain" if enabled else "resume service")
                 if enabled:
-                    self.server.empty()
+                    self.server.start_lame_duck()
                 else:
-                    self.server.refill()
+                    self.server.end_lame_duck()
                 return Reply(200, "emptying" if enabled else "at work")
 
     def _set_detached(self, change: SetDetached) -> Reply:
@@ -198,9 +198,9 @@
         self._applied = self._store.state
         for server in detached:
             self.engine.forward_event(Detached(server))
-            self.upstreams.let_go(server)
+            self.upstreams.close_idle(server)
         for server, at in attached_at_ms:
-            self.upstreams.let_go(server)  # kept connections may lead to a process that no longer exists
+            self.upstreams.close_idle(server)  # kept connections may lead to a process that no longer exists
             self.engine.forward_event(Attached(server, at))
 
     def _count_excluded(self) -> int:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""What the socket tests share: a balancer on ephemeral loopback ports, and its neighbours' sides.
+"""Helpers for the socket tests: a balancer on ephemeral loopback ports, its clients and its upstreams.
 
-Nothing here waits for a stretch of time to pass: everything waits for what it expects, up to PATIENCE.
+Nothing here sleeps for a fixed time: helpers poll for the state that they expect, for at most TIMEOUT_S seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from passpost.node import Node
 
 ROOT = Path(__file__).parent.parent
-PATIENCE = 20.0  # a hanging test fails in the end; no test depends on the figure
+TIMEOUT_S = 20.0  # a test that hangs fails after this; no test depends on the value
 
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
@@ -32,42 +32,42 @@
 
 def run(test: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             await test
 
     uvloop.run(bounded())
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     while not condition():
         await asyncio.sleep(0.005)
 
 
 @dataclass
-class Got:
-    """A request as an upstream sees it."""
+class ReceivedRequest:
+    """A request as an upstream received it."""
 
     line: str
     headers: dict[str, str]
     body: bytes
 
 
-async def read_request(reader: Reader) -> Got | None:
+async def read_request(reader: Reader) -> ReceivedRequest | None:
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     line, *rest = head.strip().split("\r\n")
     headers = {k.lower(): v for k, v in (item.split(": ", 1) for item in rest)}
-    return Got(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
+    return ReceivedRequest(line, headers, await reader.readexactly(int(headers.get("content-length", 0))))
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-AWAY = b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+TURNED_AWAY_ANSWER = b"HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 class Upstream(Protocol):
-    """What listens in an upstream's place."""
+    """A test server in place of an upstream."""
 
     host_port: str
 
@@ -77,11 +77,11 @@
 
 
 class FakeServer:
-    """Listens on an ephemeral port and answers by a script: `reply(request, writer)`."""
+    """Listens on an ephemeral port; `reply(request, writer)` answers each request, or a fixed answer does."""
 
-    def __init__(self, reply: Callable[[Got, Writer], Awaitable[None]] | bytes = OK) -> None:
+    def __init__(self, reply: Callable[[ReceivedRequest, Writer], Awaitable[None]] | bytes = OK) -> None:
         self.reply = reply
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self.connections = 0
         self.closed = 0
         self.writers: list[Writer] = []
@@ -110,8 +110,8 @@
             writer.close()
 
 
-async def silent(request: Got, writer: Writer) -> None:
-    """Take a request and answer nothing."""
+async def never_reply(request: ReceivedRequest, writer: Writer) -> None:
+    """Read a request and send no answer."""
 
 
 def member(name: str, host_port: str, phase: str = "active", **more: Any) -> dict[str, Any]:
@@ -165,12 +165,12 @@
 _ids = itertools.count(1)
 
 
-def held(
+def reply_when_released(
     release: asyncio.Event, reply: bytes = OK, txn: str | None = None
-) -> Callable[[Got, Writer], Awaitable[None]]:
-    """An upstream's script: requests are answered once released; with `txn` that one only, others at once."""
+) -> Callable[[ReceivedRequest, Writer], Awaitable[None]]:
+    """A `reply` that answers once `release` is set; with `txn` only that request waits, others do not."""
 
-    async def answer(request: Got, writer: Writer) -> None:
+    async def answer(request: ReceivedRequest, writer: Writer) -> None:
         if txn in (None, request.headers["x-txn"]):
             await release.wait()
         writer.write(reply)
@@ -178,8 +178,8 @@
     return answer
 
 
-def program(path: Path, *command: str) -> subprocess.Popen[str]:
-    """The balancer as a process of its own, told of the configuration at `path`; what it logs can be read."""
+def start_process(path: Path, *command: str) -> subprocess.Popen[str]:
+    """Start the balancer as a process with the configuration at `path`; its log can be read from stderr."""
     return subprocess.Popen(
         command or (sys.executable, "-m", "passpost"),
         cwd=ROOT,
@@ -190,7 +190,7 @@
 
 
 class Client:
-    """One caller's connection."""
+    """A client connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer = reader, writer
@@ -204,20 +204,20 @@
         self.writer.write(data + body)
 
     async def answer(self) -> Answer | None:
-        """The next answer; None if the connection ended instead."""
+        """Read the next answer; None if the connection ended instead."""
         parser = AnswerReader()
         while (data := await self.reader.read(65536)) != b"":
             if (answer := parser.feed(data)) is not None:
                 return answer
         return None
 
-    async def ask(self, target: str = "/read", **more: Any) -> Answer | None:
+    async def fetch(self, target: str = "/read", **more: Any) -> Answer | None:
         self.send(target, **more)
         return await self.answer()
 
 
 class Balancer:
-    """A balancer and whoever talks to it."""
+    """A balancer and the connections of its test clients."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
@@ -228,7 +228,7 @@
         self._writers.append(writer)
         return Client(reader, writer)
 
-    def hang_up(self) -> None:
+    def disconnect_clients(self) -> None:
         for writer in self._writers:
             writer.close()
 
@@ -247,7 +247,7 @@
     try:
         yield started
     finally:
-        started.hang_up()
+        started.disconnect_clients()
         started.node.discovery.stop()
         started.node.upstreams.stop()
         for upstream in upstreams:
--- a/tests/ops/test_node.py
+++ b/tests/ops/test_node.py
@@ -17,7 +17,7 @@
 from passpost.callers import listener
 from passpost.ops import endpoint, handover
 from passpost.ops.node import OperatedNode, state_folder, take_over
-from tests.loopback import Balancer, FakeServer, Got, Writer, config_data, member, run, until
+from tests.loopback import Balancer, FakeServer, ReceivedRequest, Writer, config_data, member, run, wait_until
 
 
 async def operator_call(node: OperatedNode, method: str, target: str) -> tuple[int, str]:
@@ -55,7 +55,7 @@
     try:
         yield balancer, node
     finally:
-        balancer.hang_up()
+        balancer.disconnect_clients()
         node.endpoint.close()
         node.close()
         for upstream in upstreams:
@@ -107,13 +107,13 @@
             assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s9"))[0] == 404
             for _ in range(10):
-                assert (await client.ask()) is not None
+                assert (await client.fetch()) is not None
             assert (len(first.got), len(second.got)) == (0, 10)
             values = await metrics(node)
             assert (values["edge.upstreams_known"], values["edge.upstreams_excluded"]) == (2, 1)
             assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
             assert (await operator_call(node, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
-            assert (await client.ask()) is not None
+            assert (await client.fetch()) is not None
             assert len(first.got) == 1
 
     run(test())
@@ -123,7 +123,7 @@
     async def test() -> None:
         release = asyncio.Event()
 
-        async def reply(request: Got, writer: Writer) -> None:
+        async def reply(request: ReceivedRequest, writer: Writer) -> None:
             if "hold" in request.line:
                 await release.wait()
             status = b"500 No" if "bad" in request.line else b"200 OK"
@@ -133,16 +133,16 @@
         async with operated_node(tmp_path, upstream) as (balancer, node):
             client = await balancer.connect()
             for target in ("/read", "/read", "/pay?bad"):
-                await client.ask(target, method="POST" if "pay" in target else "GET")
+                await client.fetch(target, method="POST" if "pay" in target else "GET")
             waiting = await balancer.connect()
             waiting.send("/read?hold")
-            await until(lambda: len(upstream.got) == 4)
+            await wait_until(lambda: len(upstream.got) == 4)
             values = await metrics(node)
             assert values["edge.served.read"] == 2 and values["edge.failed.pay"] == 1
             assert values["edge.attempts.read"] == 3 and values["edge.attempts.pay"] == 1
             assert values["edge.in_flight"] == 1
             waiting.writer.close()  # the caller leaves before its answer
-            await until(lambda: node.engine.metrics.open_requests == 0)
+            await wait_until(lambda: node.engine.metrics.open_requests == 0)
             release.set()
 
     run(test())
@@ -151,7 +151,7 @@
 def test_lameduck_closes_connections_and_can_be_ended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(listener, "EMPTY_AFTER_S", 0.3)
+    monkeypatch.setattr(listener, "LAME_DUCK_KEEP_S", 0.3)
 
     async def ready(balancer: Balancer) -> int:
         client = await balancer.connect()
@@ -164,22 +164,22 @@
     async def test() -> None:
         async with operated_node(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
-            assert (await client.ask()) is not None
+            assert (await client.fetch()) is not None
             for _ in range(2):
                 assert (await operator_call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await ready(balancer) == 503
             assert (await operator_call(node, "GET", "/_ready"))[0] == 503
-            answer = await client.ask()  # a kept connection still serves requests for a while
+            answer = await client.fetch()  # a kept connection still serves requests for a while
             assert answer is not None and answer.status == 200
             assert await client.reader.read() == b""  # then it is closed, although no request was sent on it
-            await until(lambda: not node.server.connections)
+            await wait_until(lambda: not node.server.connections)
             late = await balancer.connect()
-            answer = await late.ask()  # a new connection still serves one request
+            answer = await late.fetch()  # a new connection still serves one request
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(2):
                 assert (await operator_call(node, "PUT", "/_lameduck/off"))[0] == 200
             assert await ready(balancer) == 200
-            assert (await (await balancer.connect()).ask()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
 
     run(test())
 
@@ -190,27 +190,27 @@
         async with operated_node(tmp_path, first, second) as (balancer, old):
             assert (await operator_call(old, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
             kept = await balancer.connect()
-            assert (await kept.ask()) is not None
+            assert (await kept.fetch()) is not None
             new = await start_node(
                 config_data([member("s0", first.host_port), member("s1", second.host_port)]), tmp_path
             )
             assert new.server.port == old.server.port
-            await until(lambda: bool(old._links))
+            await wait_until(lambda: bool(old._links))
             assert (await operator_call(new, "GET", "/_ready"))[0] == 200
             # A call to one version takes effect in both.
             assert (await operator_call(old, "PUT", "/_upstreams/attach?id=s0"))[0] == 200
             assert (await operator_call(old, "PUT", "/_upstreams/detach?id=s1"))[0] == 200
-            await until(lambda: new._applied.detached == {"s1"})
+            await wait_until(lambda: new._applied.detached == {"s1"})
             stopped = asyncio.ensure_future(old.stop())
-            answer = await kept.ask()  # an open connection serves one more request and is closed
+            answer = await kept.fetch()  # an open connection serves one more request and is closed
             assert answer is not None and answer.status == 200 and not answer.reusable
             for _ in range(30):
                 client = await Balancer(new).connect()
-                answer = await client.ask()
+                answer = await client.fetch()
                 assert answer is not None and answer.status == 200
                 client.writer.close()
             await stopped
-            await until(lambda: not new._links)
+            await wait_until(lambda: not new._links)
             assert new.server._max_open > old.server._max_open  # the new version has all descriptors
             assert len(first.got) >= 30
             new.endpoint.close()
@@ -228,10 +228,10 @@
             for _ in range(2):
                 new = await start_node(data, tmp_path)
                 await node.stop()
-                await until(lambda new=new: not new._links)  # type: ignore[misc]
+                await wait_until(lambda new=new: not new._links)  # type: ignore[misc]
                 node = new
                 client = await Balancer(node).connect()
-                assert (await client.ask()) is not None
+                assert (await client.fetch()) is not None
                 client.writer.close()
             await node.stop()
             assert sorted(p.suffix for p in tmp_path.iterdir()) == []
@@ -250,7 +250,7 @@
     async def test() -> None:
         first, second = FakeServer(), FakeServer()
         async with operated_node(tmp_path, first, second) as (balancer, _):
-            assert (await (await balancer.connect()).ask()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
             assert (len(first.got), len(second.got)) == (0, 1)
 
     run(test())
@@ -294,7 +294,7 @@
     async def test() -> None:
         async with operated_node(None, FakeServer()) as (balancer, node):
             assert (await operator_call(node, "PUT", "/_upstreams/detach?id=s0"))[0] == 200
-            assert (await (await balancer.connect()).ask()) is not None
+            assert (await (await balancer.connect()).fetch()) is not None
 
     run(test())
     assert "TMPDIR" in caplog.text
@@ -321,25 +321,25 @@
         async with operated_node(tmp_path, upstream) as (balancer, old):
             callers, upstreams = old.server._max_open, old.upstreams._max_open
             new = await start_node(config_data([member("s0", upstream.host_port)]), tmp_path)
-            await until(lambda: old._successors == 1)
+            await wait_until(lambda: old._successors == 1)
             assert old.server._max_open < callers and old.upstreams._max_open < upstreams
             new.endpoint.close()
-            new.server._pause()
+            new.server._stop_accepting()
             new.server.close()
             new.close()
             for link in new._links:
                 link.close()  # as the kernel does when its process dies
-            await until(lambda: old._successors == 0 and not old._links)
+            await wait_until(lambda: old._successors == 0 and not old._links)
             assert (old.server._max_open, old.upstreams._max_open) == (callers, upstreams)
-            answer = await (await balancer.connect()).ask()
+            answer = await (await balancer.connect()).fetch()
             assert answer is not None and answer.status == 200
             again = await start_node(config_data([member("s0", upstream.host_port)]), tmp_path)
             assert again.server.port == old.server.port
-            balancer.hang_up()
+            balancer.disconnect_clients()
             await old.stop()
-            assert (await (await Balancer(again).connect()).ask()) is not None
+            assert (await (await Balancer(again).connect()).fetch()) is not None
             again.endpoint.close()
-            again.server._pause()
+            again.server._stop_accepting()
             again.server.close()
             again.close()
 
@@ -347,17 +347,17 @@
 
 
 def test_a_balancer_in_lameduck_stops_on_sigterm(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener, "EMPTY_AFTER_S", 0.0)
+    monkeypatch.setattr(listener, "LAME_DUCK_KEEP_S", 0.0)
     monkeypatch.setattr(listener, "ACCEPT_AFTER_STOP_S", 0.0)
 
     async def test() -> None:
         async with operated_node(tmp_path, FakeServer()) as (balancer, node):
             client = await balancer.connect()
-            assert (await client.ask()) is not None
+            assert (await client.fetch()) is not None
             assert (await operator_call(node, "PUT", "/_lameduck/on"))[0] == 200
             assert await client.reader.read() == b""
             await node.stop()
-            assert node.server._emptier is None
+            assert node.server._lame_duck_task is None
 
     run(test())
 
--- a/tests/ops/test_size.py
+++ b/tests/ops/test_size.py
@@ -14,7 +14,7 @@
 from passpost.ops.rules import diff
 from passpost.ops.store import DetachStore
 from tests.helpers import READ, settings
-from tests.loopback import run, until
+from tests.loopback import run, wait_until
 from umberworks.interface import (
     LearnedState,
     ListKind,
@@ -48,10 +48,10 @@
         PeerLink(far_end, lambda: closed.append("receiver"), received.append)
         sender.send_line(learned_state.serialize(learned_of(count)))
         sender.send_line(b"and another")
-        await until(lambda: len(received) == 2)
+        await wait_until(lambda: len(received) == 2)
         assert learned_state.deserialize(received[0]) == learned_of(count) and received[1] == b"and another"
         sender.close()
-        await until(lambda: closed == ["receiver"])
+        await wait_until(lambda: closed == ["receiver"])
 
     run(test())
 
@@ -63,7 +63,7 @@
         link = PeerLink(near_end, lambda: closed.append("ended"))
         far_end.close()
         link.send_line(learned_state.serialize(learned_of(2_000)))
-        await until(lambda: closed == ["ended"])
+        await wait_until(lambda: closed == ["ended"])
         link.send_line(b"later")
         await asyncio.sleep(0)
         assert closed == ["ended"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,15 +14,15 @@
 from tests.loopback import (
     Client,
     FakeServer,
-    Got,
+    ReceivedRequest,
     Writer,
     answer_json,
     config_data,
     listing,
     member,
-    program,
     run,
-    until,
+    start_process,
+    wait_until,
 )
 
 IDLE_CLIENTS = 300
@@ -46,7 +46,7 @@
         data["settings"]["discovery"] = "ask"
         path = tmp_path / "config.json"
         path.write_text(json.dumps(data))
-        with program(path) as process:
+        with start_process(path) as process:
             try:
                 assert process.stderr is not None
                 resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (sockets, sockets))
@@ -55,13 +55,13 @@
 
                 async def ask() -> int:
                     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-                    answer = await Client(reader, writer).ask()
+                    answer = await Client(reader, writer).fetch()
                     writer.close()
                     return answer.status if answer is not None else 0
 
                 assert [await ask() for _ in range(20)] == [200] * 20
 
-                async def reply_with_list(request: Got, writer: Writer) -> None:
+                async def reply_with_list(request: ReceivedRequest, writer: Writer) -> None:
                     if "wait_ms" not in request.line or "after=1&" in request.line:
                         writer.write(answer_json(listing(2, member("s1", added_server.host_port))))
 
@@ -71,7 +71,7 @@
                 registry._server = await asyncio.start_server(registry._serve, sock=discovery_socket)
                 idle += [socket.create_connection(("127.0.0.1", port)) for _ in range(IDLE_CLIENTS)]
                 # Discovery is up again, and is called although clients fill the descriptor table.
-                await until(lambda: bool(registry.got))
+                await wait_until(lambda: bool(registry.got))
                 while not added_server.got:
                     assert await ask() == 200
                 for connection in idle:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,17 @@
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import parse_address, parse_listing
-from tests.loopback import FakeServer, Got, Writer, answer_json, balancer, listing, member, run, until
+from tests.loopback import (
+    FakeServer,
+    ReceivedRequest,
+    Writer,
+    answer_json,
+    balancer,
+    listing,
+    member,
+    run,
+    wait_until,
+)
 from umberworks.interface import ListKind, ListUpdate, Readiness
 
 SAVED = listing(1, member("a", "127.0.0.1:1001"), member("b", "127.0.0.1:1002"))
@@ -25,7 +35,7 @@
     def __init__(self, *replies: bytes) -> None:
         self.replies = list(replies)
 
-    async def __call__(self, request: Got, writer: Writer) -> None:
+    async def __call__(self, request: ReceivedRequest, writer: Writer) -> None:
         if self.replies:
             writer.write(self.replies.pop(0))
 
@@ -67,7 +77,7 @@
     discovery = Discovery(parse_address(old.host_port), parse_listing(SAVED))
     discovery.start(recorder)
     discovery.subscribe()
-    await until(lambda: len(old.got) == 1)
+    await wait_until(lambda: len(old.got) == 1)
     assert discovery.move(parse_address(new.host_port))
     discovery.subscribe()
     try:
@@ -87,7 +97,7 @@
             listing(9, member("d", "127.0.0.1:1004")),
         )
         async with following_discovery(*map(answer_json, replies)) as (server, _, recorder):
-            await until(lambda: len(server.got) == 5)
+            await wait_until(lambda: len(server.got) == 5)
             assert recorder.kinds == [
                 ListKind.SAVED,
                 ListKind.CHANGES,
@@ -112,7 +122,7 @@
     async def test() -> None:
         moved = listing(2, member("a", "127.0.0.1:3001"), complete=False)
         async with following_discovery(answer_json(moved)) as (server, _, recorder):
-            await until(lambda: len(server.got) == 2)
+            await wait_until(lambda: len(server.got) == 2)
             assert recorder.addresses == {"a": ("127.0.0.1", 3001), "b": ("127.0.0.1", 1002)}
 
     run(test())
@@ -137,11 +147,11 @@
 def test_bad_answer_is_a_failed_call_and_keeps_the_list(reply: bytes) -> None:
     async def test() -> None:
         async with following_discovery(reply, answer_json(SAVED)) as (_, discovery, recorder):
-            await until(lambda: len(recorder.kinds) == 2)
+            await wait_until(lambda: len(recorder.kinds) == 2)
             assert recorder.kinds == [ListKind.SAVED, ListKind.FAILED]
             assert set(recorder.addresses) == {"a", "b"}
             discovery.subscribe()  # a new subscription works
-            await until(lambda: len(recorder.kinds) == 3)
+            await wait_until(lambda: len(recorder.kinds) == 3)
             assert recorder.kinds[2] is ListKind.WHOLE
 
     run(test())
@@ -152,14 +162,16 @@
     # RFC 9112, section 6.3, rule 8. A truncated body is not valid JSON: the list is kept and the call fails.
     body = answer_json(listing(2, member("c", "127.0.0.1:1003"))).partition(b"\r\n\r\n")[2]
 
-    async def reply_and_close(request: Got, writer: Writer) -> None:
+    async def reply_and_close(request: ReceivedRequest, writer: Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) - cut])
         writer.close()
 
     async def test() -> None:
         async with following_discovery() as (server, discovery, recorder):
             server.reply = reply_and_close
-            await until(lambda: len(recorder.kinds) == 2 if cut else recorder.kinds[1:2] == [ListKind.WHOLE])
+            await wait_until(
+                lambda: len(recorder.kinds) == 2 if cut else recorder.kinds[1:2] == [ListKind.WHOLE]
+            )
             if cut:
                 assert recorder.kinds[1] is ListKind.FAILED and set(discovery.members) == {"a", "b"}
             else:
@@ -174,8 +186,8 @@
 
     async def test() -> None:
         async with following_discovery() as (server, _, recorder):
-            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
-            await until(lambda: server.closed == server.connections)
+            await wait_until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
+            await wait_until(lambda: server.closed == server.connections)
 
     run(test())
 
@@ -189,12 +201,12 @@
         await never_called.start()
         await new.start()
         async with following_discovery(answer_json(listing(7, complete=False))) as (old, discovery, recorder):
-            await until(lambda: len(old.got) == 2)  # the watch is pending
+            await wait_until(lambda: len(old.got) == 2)  # the watch is pending
             assert discovery.move(parse_address(never_called.host_port))
             assert discovery.move(parse_address(new.host_port))
             discovery.subscribe()
             assert set(recorder.addresses) == {"a", "b"}  # the old list is used until the new one arrives
-            await until(lambda: len(new.got) == 2)
+            await wait_until(lambda: len(new.got) == 2)
             assert not discovery.move(parse_address(new.host_port))  # the address has not changed
             assert recorder.kinds == [ListKind.SAVED, ListKind.CHANGES, ListKind.WHOLE]
             assert set(recorder.addresses) == {"c"}
@@ -215,16 +227,16 @@
     async def test() -> None:
         may_reply = asyncio.Event()
 
-        async def reply_late(request: Got, writer: Writer) -> None:
+        async def reply_late(request: ReceivedRequest, writer: Writer) -> None:
             await may_reply.wait()
             writer.write(answer_json(listing(2, member("a", "127.0.0.1:1001", "leaving"), complete=False)))
             may_reply.clear()
 
         refusing, old = FakeServer(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"), FakeServer(reply_late)
         async with moved_discovery(old, refusing) as recorder:
-            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
+            await wait_until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.FAILED])
             may_reply.set()
-            await until(lambda: recorder.kinds[2:] == [ListKind.CHANGES])
+            await wait_until(lambda: recorder.kinds[2:] == [ListKind.CHANGES])
             assert [m.readiness for m in recorder.updates[2].members] == [Readiness.DRAINING]
 
     run(test())
@@ -235,7 +247,7 @@
     async def test() -> None:
         may_reply = asyncio.Event()
 
-        async def reply_late(request: Got, writer: Writer) -> None:
+        async def reply_late(request: ReceivedRequest, writer: Writer) -> None:
             await may_reply.wait()
             news = (
                 member("a", "127.0.0.1:1001", "leaving", up_since_ms=5),
@@ -250,14 +262,14 @@
         )
         new, old = FakeServer(ScriptedReplies(answer_json(current_list))), FakeServer(reply_late)
         async with moved_discovery(old, new) as recorder:
-            await until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.WHOLE])
+            await wait_until(lambda: recorder.kinds == [ListKind.SAVED, ListKind.WHOLE])
             may_reply.set()
-            await until(lambda: len(recorder.kinds) == 3)
+            await wait_until(lambda: len(recorder.kinds) == 3)
             assert [(m.server, m.readiness) for m in recorder.updates[2].members] == [
                 ("a", Readiness.DRAINING)
             ]
             assert set(recorder.addresses) == {"a", "b"}
-            await until(lambda: old.closed == 1)
+            await wait_until(lambda: old.closed == 1)
             assert len(old.got) == 1  # no further calls are made there
 
     run(test())
@@ -272,7 +284,7 @@
             await asyncio.sleep(0)
             client = await b.connect()
             for target in ("/health/ready", "/read"):
-                answer = await client.ask(target)
+                answer = await client.fetch(target)
                 assert answer is not None and answer.status == 200
 
     run(test())
@@ -289,14 +301,14 @@
         discovery = discovery_module.Discovery(parse_address(agent.host_port), known, pushed=True)
         updates: list[ListUpdate] = []
         discovery.start(lambda update, addresses: updates.append(update))
-        await until(lambda: any(u.members for u in updates))
+        await wait_until(lambda: any(u.members for u in updates))
         agent.reply = answer_json(listing(3, member("b", "127.0.0.1:2")))
-        await until(lambda: [m.server for m in updates[-1].members] == ["b"])
+        await wait_until(lambda: [m.server for m in updates[-1].members] == ["b"])
         agent.reply = b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n"
         seen = len(agent.got)
-        await until(lambda: len(agent.got) > seen + 2)  # polling goes on
+        await wait_until(lambda: len(agent.got) > seen + 2)  # polling goes on
         agent.reply = answer_json(listing(4, member("c", "127.0.0.1:3")))
-        await until(lambda: [m.server for m in updates[-1].members] == ["c"])
+        await wait_until(lambda: [m.server for m in updates[-1].members] == ["c"])
         assert all(u.kind is not ListKind.FAILED for u in updates)
         discovery.stop()
         agent.stop()
@@ -310,7 +322,7 @@
     def __init__(self) -> None:
         self.answers: list[asyncio.Future[bytes]] = []
 
-    async def __call__(self, request: Got, writer: Writer) -> None:
+    async def __call__(self, request: ReceivedRequest, writer: Writer) -> None:
         answer = asyncio.get_running_loop().create_future()
         self.answers.append(answer)
         writer.write(await answer)
@@ -340,7 +352,7 @@
     discovery = SoonOverdueDiscovery(parse_address(server.host_port), parse_listing(SAVED), pushed)
     discovery.start(recorder)
     discovery.subscribe()
-    await until(lambda: len(replies.answers) == 2)
+    await wait_until(lambda: len(replies.answers) == 2)
     try:
         yield replies, server, recorder
     finally:
@@ -371,7 +383,7 @@
     async def test() -> None:
         async with overdue_discovery(pushed) as (replies, _, recorder):
             replies.answer(1, LEAVING)
-            await until(lambda: len(recorder.kinds) == 2)
+            await wait_until(lambda: len(recorder.kinds) == 2)
             assert recorder.kinds[1] is ListKind.CHANGES
             assert [m.readiness for m in recorder.updates[1].members] == [Readiness.DRAINING]
 
@@ -382,10 +394,10 @@
     async def test() -> None:
         async with overdue_discovery() as (replies, server, recorder):
             replies.answer(0, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(recorder.addresses) == {"a", "b", "c"})
-            await until(lambda: server.closed == 1)
+            await wait_until(lambda: set(recorder.addresses) == {"a", "b", "c"})
+            await wait_until(lambda: server.closed == 1)
             replies.answer(1, LEAVING)
-            await until(lambda: len(recorder.kinds) == 3)
+            await wait_until(lambda: len(recorder.kinds) == 3)
             assert recorder.updates[2].members[0].readiness is Readiness.DRAINING
 
     run(test())
@@ -397,9 +409,9 @@
     async def test() -> None:
         async with overdue_discovery(pushed) as (replies, server, recorder):
             replies.answer(1, listing(2, member("c", "127.0.0.1:1003"), complete=False))
-            await until(lambda: set(recorder.addresses) == {"a", "b", "c"})
+            await wait_until(lambda: set(recorder.addresses) == {"a", "b", "c"})
             replies.answer(0, LEAVING | {"revision": revision})
-            await until(lambda: server.closed >= 1)
+            await wait_until(lambda: server.closed >= 1)
             reported = [m.server for u in recorder.updates[2:] for m in u.members]
             assert reported == (["a"] if leaves else [])
 
@@ -410,7 +422,7 @@
     # The timer may fire in the same turn of the event loop as the stop, before the call's task is cancelled.
     async def test() -> None:
         async with following_discovery() as (server, discovery, _):
-            await until(lambda: len(server.got) == 1)
+            await wait_until(lambda: len(server.got) == 1)
             subscription = discovery._current
             discovery.stop()
             discovery._start_parallel_call(subscription, 10_000)
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -17,10 +17,10 @@
 
 import pytest
 
-from passpost.workers.plan import End, Plan, Tell
+from passpost.workers.plan import Exit, Plan, SendSignal
 from tests.cli.test_operator import free_port, running
-from tests.loopback import PATIENCE, config_data, member
-from tests.workers.test_run import TEXT
+from tests.loopback import TIMEOUT_S, config_data, member
+from tests.workers.test_run import CONFIG_TEXT
 
 SIGNAL_INTERVAL_S = 0.0005  # the interpreter takes about 20 ms to exit
 
@@ -32,7 +32,7 @@
         assert line, "the process did not start"
     Thread(target=process.stderr.read, daemon=True).start()  # a full pipe would block its logging
     process.send_signal(signal.SIGTERM)
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + TIMEOUT_S
     while process.poll() is None:
         assert time.monotonic() < deadline, "the process does not exit"
         for number in numbers:
@@ -63,7 +63,7 @@
     tmp_path: Path, numbers: list[signal.Signals], arguments: tuple[str, ...]
 ) -> None:
     path = tmp_path / "passpost.toml"
-    path.write_text(TEXT.format(port=free_port(), server=9))
+    path.write_text(CONFIG_TEXT.format(port=free_port(), server=9))
     with running(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
         assert exit_status(process, "serves", numbers) == 0
 
@@ -90,16 +90,16 @@
 def test_worker_stopped_during_its_start_is_not_a_failure() -> None:
     # The parent exited with 1 if SIGTERM arrived during the start of its workers, 0.4 to 0.7 s after its own start.
     plan = Plan(2, 10.0, 1.0)
-    plan.begin(0.0)
-    plan.ready(0, 0.4)
-    assert Tell(1, signal.SIGTERM) in plan.stop(0.5)
-    assert plan.ended(1, -signal.SIGTERM, 0.6) == []
-    assert plan.ended(0, 0, 0.7) == [End(0)]
+    plan.start_all(0.0)
+    plan.worker_ready(0, 0.4)
+    assert SendSignal(1, signal.SIGTERM) in plan.stop(0.5)
+    assert plan.worker_ended(1, -signal.SIGTERM, 0.6) == []
+    assert plan.worker_ended(0, 0, 0.7) == [Exit(0)]
 
 
 def test_worker_killed_by_a_signal_after_serving_is_a_failure() -> None:
     plan = Plan(1, 10.0, 1.0)
-    plan.begin(0.0)
-    plan.ready(0, 0.4)
+    plan.start_all(0.0)
+    plan.worker_ready(0, 0.4)
     plan.stop(0.5)
-    assert plan.ended(0, -signal.SIGTERM, 0.6) == [End(1)]
+    assert plan.worker_ended(0, -signal.SIGTERM, 0.6) == [Exit(1)]
