--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -35,7 +35,7 @@
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.script import load
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 ROOT = Path(__file__).parent.parent
 BASE = ROOT / "rehearsals" / "two-tiers-down.toml"
@@ -118,7 +118,7 @@
     )
 
 
-def served(of: Night) -> list[tuple[int, int]]:
+def served(of: Run) -> list[tuple[int, int]]:
     """For each second of first tries: how many there were, and how many were served."""
     seconds = [[0, 0] for _ in range(int(LENGTH_S))]
     for job in of.jobs:
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -19,7 +19,7 @@
 from passpost.rehearsal.script import ScriptError, load
 from passpost.rehearsal.summary import HEADS, Summary, summarize
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 MOST_STORIES = 3
 
@@ -99,7 +99,7 @@
         raise UnusableError(f"{path}: {error.strerror}") from None
 
 
-def show(night: Night, figures: Summary) -> None:
+def show(night: Run, figures: Summary) -> None:
     """The table, and the story of whatever went against the rules."""
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 100)
     table = Table(title=f"{figures.title} (seed {figures.seed})", title_justify="left")
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -14,7 +14,7 @@
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Event, Script
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from umberworks.rules import Balancer
 
 Module = type[Balancer]
@@ -76,7 +76,7 @@
     return chance.choice(kinds)()
 
 
-def verdict(night: Night) -> str:
+def verdict(night: Run) -> str:
     """What went wrong, in one line; empty for a good night."""
     if night.breaks:
         return f"{night.breaks[0].rule}: {night.breaks[0].text}"
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -31,7 +31,7 @@
 from passpost.rehearsal import carried, model
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.stage import Config, Ending, Running, Stage
-from passpost.rehearsal.world import Night, World
+from passpost.rehearsal.world import Run, World
 
 T = TypeVar("T")
 
@@ -216,7 +216,7 @@
     progress: Callable[[float], None] = lambda share: None,
     workers: int = 1,
     ready_within: float | None = None,
-) -> Night:
+) -> Run:
     """One whole night in real time. `sink` gets attempts as nodes see them, and refusals as clients do.
 
     A sidecar runs as so many `workers`; `ready_within`: see World.
@@ -225,7 +225,7 @@
     begun = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="passpost-") as folder:
 
-        async def night() -> Night:
+        async def night() -> Run:
             stage = LiveStage(Path(folder), workers)
             world = World(stage, script, seed, progress, ready_within=ready_within)
             world.watch.sink = sink
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -6,7 +6,7 @@
 
 from passpost.rehearsal.summary import HEADS, OUTCOMES, Line, Summary, by_second, summarize
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 COLOURS = {"in time": "#2a7f62", "late": "#d9a441", "refused": "#6b7fb3", "failed": "#b3423f"}
 WIDTH, LEFT, TOP = 900, 110, 8
@@ -22,7 +22,7 @@
 """
 
 
-def write(night: Night) -> str:
+def write(night: Run) -> str:
     """The page."""
     figures = summarize(night)
     broken = sum(figures.breaks.values())
@@ -66,15 +66,15 @@
     return f'<p class="key">{"".join(spans)}</p>'
 
 
-def _span(night: Night) -> float:
+def _span(night: Run) -> float:
     return max(night.ended - night.began, 1.0)
 
 
-def _x(night: Night, at: float) -> float:
+def _x(night: Run, at: float) -> float:
     return LEFT + (WIDTH - LEFT) * min(max((at - night.began) / _span(night), 0.0), 1.0)
 
 
-def _axis(night: Night, y: float) -> str:
+def _axis(night: Run, y: float) -> str:
     span = _span(night)
     step = next((s for s in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600) if span / s <= 12), 3600)
     marks = [
@@ -88,7 +88,7 @@
     return f'<svg viewBox="0 0 {WIDTH + 20} {height:.0f}" width="100%" role="img">{inside}</svg>'
 
 
-def _outcomes(night: Night) -> str:
+def _outcomes(night: Run) -> str:
     seconds, height = by_second(night), 160
     most = max((sum(c.values()) for c in seconds), default=1) or 1
     bars = []
@@ -107,7 +107,7 @@
     return _svg(TOP + height + 20, "".join(bars) + scale + _axis(night, TOP + height))
 
 
-def _loads(night: Night) -> str:
+def _loads(night: Run) -> str:
     """A strip for each node: the darker, the more requests are inside; white: it does not run."""
     names = sorted({name for sample in night.samples for name in sample.holding})
     most = max((n for sample in night.samples for n in sample.holding.values()), default=1) or 1
@@ -131,7 +131,7 @@
     return _svg(height + 20, "".join(boxes) + _axis(night, height)) + f"<p>darkest: {most} inside</p>"
 
 
-def _events(night: Night) -> str:
+def _events(night: Run) -> str:
     if not night.log:
         return "<p>Nothing: a calm night.</p>"
     return (
@@ -139,7 +139,7 @@
     )
 
 
-def _rules(night: Night, figures: Summary) -> str:
+def _rules(night: Run, figures: Summary) -> str:
     rows = "".join(
         f'<tr><td>{text}</td><td class="{"bad" if figures.breaks[rule] else "good"}">'
         f"{figures.breaks[rule] or 'kept'}</td></tr>"
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -10,7 +10,7 @@
 
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 LENGTH_S = 6.0
 LAST_STOP_S = 2.5  # later ones would leave the new process no time to be ready
@@ -145,7 +145,7 @@
     return [kind() for kind in chance.sample(kinds, chance.randint(0, 3))]
 
 
-def violations(night: Night) -> list[Violation]:
+def violations(night: Run) -> list[Violation]:
     """All that went wrong: rules, exit statuses, errors in logs, and balancers that were not ready in time."""
     script_log = tuple(f"{at:9.3f}  {text}" for at, text in night.log)
     found = [Violation(f"{b.rule}: {b.text}", tuple(b.story)) for b in night.breaks]
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -8,7 +8,7 @@
 
 from passpost.rehearsal.clients import Job
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 HEADS = ("", "requests", "served", "in time", "refused", "failed", "p50 ms", "p99 ms", "worth")
 OUTCOMES = ("in time", "late", "refused", "failed")
@@ -100,7 +100,7 @@
     return round(value, 4) if isinstance(value, float) else value
 
 
-def summarize(night: Night) -> Summary:
+def summarize(night: Run) -> Summary:
     """The figures of a night."""
     jobs = [job for job in night.jobs if job.outcome]
     counts = Counter(b.rule for b in night.breaks)
@@ -148,7 +148,7 @@
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)] if ordered else 0.0
 
 
-def by_second(night: Night) -> list[Counter[str]]:
+def by_second(night: Run) -> list[Counter[str]]:
     """Outcomes of first tries, by the second in which they were first sent."""
     seconds = [Counter[str]() for _ in range(int(night.ended - night.began) + 1)]
     for job in night.jobs:
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -22,7 +22,7 @@
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import Config, Ending, Running, Stage
-from passpost.rehearsal.world import Night, World
+from passpost.rehearsal.world import Run, World
 from umberworks import interface
 from umberworks.rules import Balancer
 
@@ -221,7 +221,7 @@
     progress: Callable[[float], None] = lambda share: None,
     module: type[Balancer] = Balancer,
     file: File | None = None,
-) -> Night:
+) -> Run:
     """One whole night in simulated time. `file` takes the place of the operator's file that the script names."""
     begun = time.perf_counter()
     stage = VirtualStage(script, seed, sink, module)
@@ -233,7 +233,7 @@
     try:
         night = stage.loop.run(world.play())
     except StuckError as error:
-        night = world.night
+        night = world.run
         night.faults.append(str(error))
         night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
         night.ended = stage.now()
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Night:
+class Run:
     """What came of a night."""
 
     script: Script
@@ -95,7 +95,7 @@
         self._file, self._speech = file, speech
         self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
         self.watch = Watch(script.contract)
-        self.night = Night(script, seed)
+        self.run = Run(script, seed)
         self._random = random.Random(f"world {seed}")
         self._classes = {c.name: c for c in script.classes}
         self._effects = Effects()
@@ -125,7 +125,7 @@
 
     # ---- building
 
-    async def play(self) -> Night:
+    async def play(self) -> Run:
         """The whole night."""
         stage, script = self.stage, self.script
         for tier in reversed(script.tiers):  # a node's own balancer knows the tier that it calls
@@ -150,9 +150,9 @@
             await asyncio.sleep(0.05)
             waited += 0.05
             if waited > WARM_UP_S:
-                self.night.faults.append("the balancers did not get ready")
+                self.run.faults.append("the balancers did not get ready")
                 return self._finish()
-        begin = self.night.began = stage.now()
+        begin = self.run.began = stage.now()
         stage.run_as("clients", lambda: self.clients.start(script.length_s))
         for event in script.events:
             self._at(begin + event.at_s, lambda event=event: self._happen(event))  # type: ignore[misc]
@@ -165,7 +165,7 @@
         if self._ready_within is not None:
             await self._until_ready(fronts, self._ready_within)
         if self.clients.open:
-            self.night.faults.append(f"{self.clients.open} requests never ended")
+            self.run.faults.append(f"{self.clients.open} requests never ended")
         return self._finish()
 
     async def _until_ready(self, fronts: list[str], within: float) -> None:
@@ -176,13 +176,13 @@
             for name in waiting:
                 started = self._launched[name]
                 if started > self._stopped.get(name, -math.inf) and now > started + within:
-                    self.night.faults.append(f"{name} was not ready {within:g} s after its start")
+                    self.run.faults.append(f"{name} was not ready {within:g} s after its start")
                     return
             await asyncio.sleep(0.05)
 
-    def _finish(self) -> Night:
+    def _finish(self) -> Run:
         self._over = True
-        night = self.night
+        night = self.run
         for name, running in list(self._balancers.items()):
             if running.alive:
                 running.kill()
@@ -207,7 +207,7 @@
         self._at(self.stage.now() + seconds, call)
 
     def _say(self, text: str) -> None:
-        self.night.log.append((self.stage.now(), text))
+        self.run.log.append((self.stage.now(), text))
 
     def _stand(self, place: _Place, name: str, cold: bool) -> None:
         """A node starts at a place; its own balancer with it."""
@@ -276,7 +276,7 @@
         self.registry.balancer_ended(name)
         self.watch.forget_balancer(name)
         if status not in (0, None):
-            self.night.faults.append(f"{name} ended with status {status}")
+            self.run.faults.append(f"{name} ended with status {status}")
 
     def _excuse(self, balancer: str, since: float) -> str:
         """Why a balancer may have left a call unanswered that was made at `since`."""
@@ -573,7 +573,7 @@
     def _sample(self) -> None:
         holding = {p.name: p.node.machine.holding for p in self._all_places if p.node is not None}
         ready = sum(self.clients.front.is_ready(n) for n in self.clients.front.addresses)
-        self.night.samples.append(Sample(self.stage.now(), holding, ready))
+        self.run.samples.append(Sample(self.stage.now(), holding, ready))
         self._after(SAMPLE_S, self._sample)
 
 
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -10,7 +10,7 @@
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from umberworks import interface
 from umberworks.rules import Balancer
 from umberworks.slow_start import SlowStart
@@ -39,7 +39,7 @@
     return msgspec.convert(msgspec.to_builtins(Script(**(base | changes))), Script)
 
 
-def decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Night, list[str]]:
+def decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Run, list[str]]:
     lines: list[str] = []
     return play(night, seed, lines.append, module=module), lines
 
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.restarts import READY_S, SIGNALS, Scenario, draw, violations
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from tests.loopback import ROOT
 
 SIDECAR = load(str(ROOT / "examples" / "consent-desk" / "rehearsal.toml"))
@@ -55,8 +55,8 @@
 
 def test_each_thing_that_must_not_happen_is_a_violation() -> None:
     script = drawn(2).script
-    assert violations(Night(script, 2)) == []
-    broken = Night(
+    assert violations(Run(script, 2)) == []
+    broken = Run(
         script,
         2,
         breaks=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -23,7 +23,7 @@
     Tier,
 )
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from tests.rehearsal.nights import FRAME, SUBMIT
 
 
@@ -59,7 +59,7 @@
     )
 
 
-def broken(night: Night) -> list[str]:
+def broken(night: Run) -> list[str]:
     assert night.faults == []
     return [b.text for b in night.breaks]
 
