--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -72,8 +72,8 @@
         row[f"{host}_p99_ms"] = round(figures.whole.p99_ms)
         row[f"{host}_breaks"] = sum(figures.breaks.values())
         row[f"{host}_faults"] = night.faults[:3]
-        if night.breaks:
-            row[f"{host}_first_break"] = night.breaks[0].text
+        if night.violations:
+            row[f"{host}_first_break"] = night.violations[0].text
     row["difference"] = round(abs(row["virtual_served"] - row["live_served"]), 4)
     return row
 
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -61,7 +61,7 @@
         discovery.ANSWER_S, discovery.SPARE_S = before
     if found.faults:
         raise SystemExit(f"seed {seed}: {found.faults[0]}")
-    return sum(b.rule == "drain" for b in found.breaks)
+    return sum(b.rule == "drain" for b in found.violations)
 
 
 def main() -> None:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -155,7 +155,7 @@
         "lost_share": 1 - sum(s for _, s in after) / max(sum(n for n, _ in after), 1),
         "calm_lost": 1 - sum(s for _, s in calm_all) / max(sum(n for n, _ in calm_all), 1),
         "tries": sum(j.tries for j in stalled_night.jobs) / max(len(stalled_night.jobs), 1),
-        "breaks": len(stalled_night.breaks) + len(calm_night.breaks),
+        "breaks": len(stalled_night.violations) + len(calm_night.violations),
         "faults": len(stalled_night.faults) + len(calm_night.faults),
         "seconds": [s / n if n else 1.0 for n, s in stalled],
     }
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -83,7 +83,10 @@
         except OSError as error:
             raise UnusableError(f"{page}: {error.strerror}") from None
     if as_json:
-        more = {"good": night.is_good(), "first_break": night.breaks[0].text if night.breaks else None}
+        more = {
+            "good": night.is_good(),
+            "first_break": night.violations[0].text if night.violations else None,
+        }
         click.echo(json.dumps(figures.as_json() | more, indent=2))
     else:
         show(night, figures)
@@ -123,7 +126,7 @@
         console.print(f"  {text}: " + (f"[bold red]broken {broken} times[/]" if broken else "[green]kept[/]"))
     for fault in night.faults[:MOST_STORIES]:
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
-    for found in night.breaks[:MOST_STORIES]:
+    for found in night.violations[:MOST_STORIES]:
         console.print(f"\n[bold red]{RULES[found.rule]}:[/] {found.text}")
         for row in found.story:
             console.print(f"  {row}", markup=False)
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -78,8 +78,8 @@
 
 def verdict(night: Run) -> str:
     """What went wrong, in one line; empty for a good night."""
-    if night.breaks:
-        return f"{night.breaks[0].rule}: {night.breaks[0].text}"
+    if night.violations:
+        return f"{night.violations[0].rule}: {night.violations[0].text}"
     return f"fault: {night.faults[0]}" if night.faults else ""
 
 
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -147,7 +147,7 @@
     )
     stories = "".join(
         f"<h2>{escape(RULES[b.rule])}: {escape(b.text)}</h2><pre>{escape(chr(10).join(b.story))}</pre>"
-        for b in night.breaks[:MOST_STORIES]
+        for b in night.violations[:MOST_STORIES]
     )
     faults = f"<h2>Faults</h2><pre>{escape(chr(10).join(night.faults[:50]))}</pre>" if night.faults else ""
     return f"<h2>Rules</h2><table>{rows}</table>{faults}{stories}"
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -103,7 +103,7 @@
 def summarize(night: Run) -> Summary:
     """The figures of a night."""
     jobs = [job for job in night.jobs if job.outcome]
-    counts = Counter(b.rule for b in night.breaks)
+    counts = Counter(b.rule for b in night.violations)
     each = max(len(jobs), 1)
     return Summary(
         title=night.script.title,
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -235,7 +235,7 @@
     except StuckError as error:
         night = world.run
         night.faults.append(str(error))
-        night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
+        night.jobs, night.violations = world.clients.jobs, world.watch.breaks
         night.ended = stage.now()
     finally:
         log.removeHandler(handler)
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -45,7 +45,7 @@
     script: Script
     seed: int
     jobs: list[Job] = field(default_factory=list)
-    breaks: list[Break] = field(default_factory=list)
+    violations: list[Break] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # of the program: a crash, an error that nobody caught
     samples: list[Sample] = field(default_factory=list)
     log: list[tuple[float, str]] = field(default_factory=list)  # what the script did
@@ -58,7 +58,7 @@
 
     def is_good(self) -> bool:
         """Whether no rule was broken and nothing crashed."""
-        return not self.breaks and not self.faults
+        return not self.violations and not self.faults
 
 
 @dataclass
@@ -191,7 +191,7 @@
             if place.node is not None:
                 self.stage.run_as(place.name, place.node.close)
         self.watch.ended(self.stage.now())
-        night.jobs, night.breaks = self.clients.jobs, self.watch.breaks
+        night.jobs, night.violations = self.clients.jobs, self.watch.breaks
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
         night.attempts, night.ended = self.watch.attempts, self.stage.now()
         return night
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -66,7 +66,7 @@
     played = play(
         script(file, tenants=(model.Tenant(name="harbour"), model.Tenant(name="castle"))), 1, file=file
     )
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
     figures = summarize(played)
     assert figures.whole.served == 1.0 and {line.name for line in figures.by_class} == {
         "submit",
@@ -79,7 +79,7 @@
 def test_a_second_tier_behind_a_sidecar_speaks_the_platform_s_form() -> None:
     file = good()
     played = play(script(file, *FAULTS, tiers=2), 3, file=file)
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
     assert played.attempts > 1.5 * len(played.jobs)
 
 
@@ -87,7 +87,7 @@
     file = good()
     reloads = [model.Reload(at_s=0.2 * i, balancer="b1") for i in range(1, 12)]
     played = play(script(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
     assert len(played.jobs) > 150 and summarize(played).whole.served == 1.0
     assert Counter(text for _, text in played.log)["b1: discovery moves, SIGHUP"] == 11
 
@@ -111,14 +111,14 @@
 def test_a_broken_module_in_a_sidecar_is_caught(module: Any, event: Any, rule: str) -> None:
     file = good()
     played = play(script(file, *event), 1, module=module, file=file)
-    assert rule in {b.rule for b in played.breaks}
+    assert rule in {b.rule for b in played.violations}
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda p: p.parent.name)
 def test_an_example_s_rehearsal_keeps_the_rules(path: Path) -> None:
     night = load(str(path))
     played = play(night, night.seed)
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
     assert summarize(played).whole.served > 0.9
     assert "b1: discovery moves, SIGHUP" in {text for _, text in played.log}
     assert parse_script(dump(night), "elsewhere/copy.toml") == night  # its file is found from anywhere
@@ -267,7 +267,7 @@
     except MismatchError:
         return "unfit"
     played = play(night, seed, file=file)
-    assert played.is_good(), (seed, text, played.faults, [b for b in played.breaks[:2]])
+    assert played.is_good(), (seed, text, played.faults, [b for b in played.violations[:2]])
     return "played"
 
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -36,13 +36,13 @@
 
 
 def rules(night: Any) -> set[str]:
-    return {b.rule for b in night.breaks}
+    return {b.rule for b in night.violations}
 
 
 def test_a_calm_night_serves_all_through_two_tiers() -> None:
     night = play(script(tiers=2), 1)
     figures = summarize(night)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert figures.whole.served == 1.0 and figures.whole.requests > 150
     assert figures.attempts_each == 2.0  # one at each tier
     assert sum(sum(c.values()) for c in by_second(night)) == figures.whole.requests
@@ -75,7 +75,7 @@
         night, clients=msgspec.structs.replace(night.clients, rate_per_s=night.clients.rate_per_s / 4)
     )
     played = play(light, night.seed)
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
     assert summarize(played).whole.served > 0.5
 
 
@@ -83,7 +83,7 @@
 def test_nights_that_once_broke_a_rule_keep_it_now(path: Path) -> None:
     night = load(str(path))
     played = play(night, night.seed)
-    assert played.is_good(), (played.faults, played.breaks)
+    assert played.is_good(), (played.faults, played.violations)
 
 
 def test_there_are_ten_bad_nights_and_each_kind_of_failure_is_in_one() -> None:
@@ -103,7 +103,7 @@
 def test_one_that_sends_twice_is_caught() -> None:
     night, _ = decisions(script(), 1, nights.ServesTwice)
     assert "twice" in rules(night)
-    story = next(b for b in night.breaks if b.rule == "twice").story
+    story = next(b for b in night.violations if b.rule == "twice").story
     assert any("invoice, unsafe" in line for line in story)
     assert sum("attempt" in line for line in story) >= 2
 
@@ -113,7 +113,7 @@
     assert play(script(drain), 1).is_good()
     night, _ = decisions(script(drain), 1, nights.IgnoresDrains)
     assert rules(night) == {"drain"}
-    assert "render-plain-1" in night.breaks[0].text
+    assert "render-plain-1" in night.violations[0].text
 
 
 def test_one_that_floods_a_cold_node_is_caught() -> None:
@@ -139,7 +139,7 @@
     monkeypatch.setattr(connection.Connection, "_finish", drop)
     night = play(script(), 1)
     assert rules(night) == {"lost"}
-    assert "closed with no whole answer" in night.breaks[0].text
+    assert "closed with no whole answer" in night.violations[0].text
 
 
 def test_one_that_makes_up_answers_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -174,7 +174,7 @@
         model.Crash(at_s=0.5 + i, for_s=0.05, nodes=("render-*",), count=1, back_as="same") for i in range(4)
     )
     night = play(script(*crashes, clients=Clients(rate_per_s=120)), 3)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
 
 
 def test_a_wall_clock_that_is_set_back_changes_no_promise() -> None:
@@ -182,7 +182,7 @@
         model.Clock(at_s=at, balancer="b1", by_s=by) for at, by in ((0.5, -5_000.0), (2.0, 9_000.0))
     )
     night = play(script(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert summarize(night).whole.served == 1.0
 
 
@@ -190,7 +190,7 @@
     # Of the longest deadline the platform waits 3 s at most: a drain that reckons with 8 s never came to its end.
     patient = (msgspec.structs.replace(nights.FRAME, deadline_ms=8_000), nights.SUBMIT)
     night = play(script(model.Stop(at_s=1.0, balancer="b1", back_s=0.1), length_s=7.0, classes=patient), 1)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert not any("killed" in said for _, said in night.log), night.log
 
 
@@ -203,14 +203,14 @@
         ),
         1,
     )
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert summarize(night).whole.served > 0.9
 
 
 def test_a_fleet_that_is_gone_refuses_and_ends() -> None:
     gone = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
     night = play(script(gone), 1)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert 0 < summarize(night).whole.served < 0.5
 
 
@@ -223,7 +223,7 @@
 def test_refused_clients_are_told_when_to_return_and_some_keep_to_it() -> None:
     rush = script(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
     night = play(msgspec.structs.replace(rush, length_s=2.0), 1)
-    assert night.is_good(), (night.faults, night.breaks)
+    assert night.is_good(), (night.faults, night.violations)
     assert summarize(night).whole.refused > 0
 
 
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -59,7 +59,7 @@
     broken = Run(
         script,
         2,
-        breaks=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
+        violations=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
         faults=["b1 ended with status -15"],
         log=[(2.0, "b1 gets SIGTERM")],
     )
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -61,7 +61,7 @@
 
 def broken(night: Run) -> list[str]:
     assert night.faults == []
-    return [b.text for b in night.breaks]
+    return [b.text for b in night.violations]
 
 
 def test_nothing_is_sent_to_nodes_whose_leaving_was_told() -> None:
