--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -230,7 +230,7 @@
             world = World(stage, script, seed, progress, ready_within=ready_within)
             world.watch.sink = sink
             try:
-                return await world.play()
+                return await world.simulate()
             finally:
                 for running in stage.running.values():
                     running.kill()
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -231,7 +231,7 @@
     log.addHandler(handler)
     log.propagate = False
     try:
-        night = stage.loop.run(world.play())
+        night = stage.loop.run(world.simulate())
     except StuckError as error:
         night = world.run
         night.faults.append(str(error))
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -125,7 +125,7 @@
 
     # ---- building
 
-    async def play(self) -> Run:
+    async def simulate(self) -> Run:
         """The whole night."""
         stage, script = self.stage, self.script
         for tier in reversed(script.tiers):  # a node's own balancer knows the tier that it calls
