--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -122,7 +122,7 @@
     """For each second of first tries: how many there were, and how many were served."""
     seconds = [[0, 0] for _ in range(int(LENGTH_S))]
     for job in of.jobs:
-        at = int(job.first - of.began)
+        at = int(job.first - of.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][0] += 1
             seconds[at][1] += job.outcome == "served"
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -67,18 +67,18 @@
 
 
 def _span(night: Run) -> float:
-    return max(night.ended - night.began, 1.0)
+    return max(night.ended_at - night.started_at, 1.0)
 
 
 def _x(night: Run, at: float) -> float:
-    return LEFT + (WIDTH - LEFT) * min(max((at - night.began) / _span(night), 0.0), 1.0)
+    return LEFT + (WIDTH - LEFT) * min(max((at - night.started_at) / _span(night), 0.0), 1.0)
 
 
 def _axis(night: Run, y: float) -> str:
     span = _span(night)
     step = next((s for s in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600) if span / s <= 12), 3600)
     marks = [
-        f'<text x="{_x(night, night.began + s):.1f}" y="{y + 13:.0f}" text-anchor="middle">{s} s</text>'
+        f'<text x="{_x(night, night.started_at + s):.1f}" y="{y + 13:.0f}" text-anchor="middle">{s} s</text>'
         for s in range(0, int(span) + 1, step)
     ]
     return "".join(marks)
@@ -93,7 +93,7 @@
     most = max((sum(c.values()) for c in seconds), default=1) or 1
     bars = []
     for i, counts in enumerate(seconds):
-        x, wide = _x(night, night.began + i), (WIDTH - LEFT) / _span(night)
+        x, wide = _x(night, night.started_at + i), (WIDTH - LEFT) / _span(night)
         y = float(TOP + height)
         for name in OUTCOMES:
             if counts[name]:
@@ -121,7 +121,7 @@
             inside = sample.holding.get(name)
             if inside is not None:
                 x = _x(night, sample.at)
-                wide = _x(night, after.at if after else night.ended) - x
+                wide = _x(night, after.at if after else night.ended_at) - x
                 boxes.append(
                     f'<rect x="{x:.1f}" y="{y}" width="{wide + 0.3:.1f}" height="{tall - 1}" fill="#274c77" '
                     f'fill-opacity="{0.06 + 0.94 * inside / most:.2f}">'
@@ -135,7 +135,9 @@
     if not night.log:
         return "<p>Nothing: a calm night.</p>"
     return (
-        "<pre>" + escape("\n".join(f"{at - night.began:8.2f} s  {text}" for at, text in night.log)) + "</pre>"
+        "<pre>"
+        + escape("\n".join(f"{at - night.started_at:8.2f} s  {text}" for at, text in night.log))
+        + "</pre>"
     )
 
 
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -108,7 +108,7 @@
     return Summary(
         title=night.script.title,
         seed=night.seed,
-        seconds=night.ended - night.began,
+        seconds=night.ended_at - night.started_at,
         wall_s=night.wall_s,
         whole=_line("all", jobs),
         by_class=tuple(
@@ -150,9 +150,9 @@
 
 def by_second(night: Run) -> list[Counter[str]]:
     """Outcomes of first tries, by the second in which they were first sent."""
-    seconds = [Counter[str]() for _ in range(int(night.ended - night.began) + 1)]
+    seconds = [Counter[str]() for _ in range(int(night.ended_at - night.started_at) + 1)]
     for job in night.jobs:
-        at = int(job.first - night.began)
+        at = int(job.first - night.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][outcome(job)] += 1
     while len(seconds) > 1 and not seconds[-1]:
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -236,7 +236,7 @@
         night = world.run
         night.faults.append(str(error))
         night.jobs, night.violations = world.clients.jobs, world.watch.breaks
-        night.ended = stage.now()
+        night.ended_at = stage.now()
     finally:
         log.removeHandler(handler)
         log.propagate = before
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -52,8 +52,8 @@
     attempts: int = 0
     left_waiting: int = 0  # clients that hung up while nothing was out for their request
     sent_after: int = 0  # of these, those that were sent for 0.3 s later or after that
-    began: float = 0.0
-    ended: float = 0.0
+    started_at: float = 0.0
+    ended_at: float = 0.0
     wall_s: float = 0.0
 
     def is_good(self) -> bool:
@@ -152,7 +152,7 @@
             if waited > WARM_UP_S:
                 self.run.faults.append("the balancers did not get ready")
                 return self._finish()
-        begin = self.run.began = stage.now()
+        begin = self.run.started_at = stage.now()
         stage.run_as("clients", lambda: self.clients.start(script.length_s))
         for event in script.events:
             self._at(begin + event.at_s, lambda event=event: self._happen(event))  # type: ignore[misc]
@@ -193,7 +193,7 @@
         self.watch.ended(self.stage.now())
         night.jobs, night.violations = self.clients.jobs, self.watch.breaks
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
-        night.attempts, night.ended = self.watch.attempts, self.stage.now()
+        night.attempts, night.ended_at = self.watch.attempts, self.stage.now()
         return night
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
