--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -45,9 +45,9 @@
     """One seed, in real time."""
     scenario = draw(seed, load(str(SIDECAR)))
     night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
-    served = sum(job.outcome == "served" for job in night.jobs)
+    served = sum(job.outcome == "served" for job in night.requests)
     mode = scenario.script.discovery.mode
-    return Run(seed, scenario.host(), mode, len(night.jobs), served, tuple(violations(night)))
+    return Run(seed, scenario.host(), mode, len(night.requests), served, tuple(violations(night)))
 
 
 def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -121,8 +121,8 @@
 def served(of: Run) -> list[tuple[int, int]]:
     """For each second of first tries: how many there were, and how many were served."""
     seconds = [[0, 0] for _ in range(int(LENGTH_S))]
-    for job in of.jobs:
-        at = int(job.first - of.started_at)
+    for job in of.requests:
+        at = int(job.started_at - of.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][0] += 1
             seconds[at][1] += job.outcome == "served"
@@ -154,7 +154,7 @@
         "recovery_s": recovery(stalled, calm, end),
         "lost_share": 1 - sum(s for _, s in after) / max(sum(n for n, _ in after), 1),
         "calm_lost": 1 - sum(s for _, s in calm_all) / max(sum(n for n, _ in calm_all), 1),
-        "tries": sum(j.tries for j in stalled_night.jobs) / max(len(stalled_night.jobs), 1),
+        "tries": sum(j.tries for j in stalled_night.requests) / max(len(stalled_night.requests), 1),
         "breaks": len(stalled_night.violations) + len(calm_night.violations),
         "faults": len(stalled_night.faults) + len(calm_night.faults),
         "seconds": [s / n if n else 1.0 for n, s in stalled],
--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -21,17 +21,17 @@
 
 
 @dataclass(slots=True)
-class Job:
+class ClientRequest:
     """What a client wants: a first try and the retries that belong to it."""
 
     number: int
     cls: Class
     tenant: str
     key: str
-    first: float
+    started_at: float
     tries: int = 0
     outcome: str = ""
-    ended: float = 0.0
+    ended_at: float = 0.0
     reasons: list[str] = field(default_factory=list)
 
 
@@ -119,11 +119,11 @@
         self._moods = random.Random(f"moods {seed}")  # so are the impatient, and only where a script has any
         self._tenants = script.tenants or (Tenant(name="all"),)
         self.rushes: list[tuple[float, str]] = []
-        self.jobs: list[Job] = []
+        self.requests: list[ClientRequest] = []
         self.open = 0
         self._ends = 0.0
         self._txns = 0
-        self.on_end: Callable[[Job], None] = lambda job: None
+        self.on_end: Callable[[ClientRequest], None] = lambda job: None
 
     def start(self, seconds: float) -> None:
         """Send for so long from now on."""
@@ -160,15 +160,15 @@
             wanted *= more if of in ("", tenant) else 1.0
         if chance.random() >= wanted / self._most():  # of those drawn at the highest rate
             return
-        job = Job(len(self.jobs), cls, tenant, f"{chance.getrandbits(64):016x}", now)
-        self.jobs.append(job)
+        job = ClientRequest(len(self.requests), cls, tenant, f"{chance.getrandbits(64):016x}", now)
+        self.requests.append(job)
         self.open += 1
         self._try(job, process)
 
-    def _try(self, job: Job, process: int, unreached: int = 0) -> None:
+    def _try(self, job: ClientRequest, process: int, unreached: int = 0) -> None:
         """One try, on a free connection or on a new one."""
         now, cls = self._stage.now(), job.cls
-        left = job.first + cls.deadline_ms / 1000 - now
+        left = job.started_at + cls.deadline_ms / 1000 - now
         if left <= 0:
             self._end(job, "failed", "out of time")
             return
@@ -184,7 +184,14 @@
         self._send(job, process, balancer, f"t{self._txns}", now + wait, unreached)
 
     def _send(
-        self, job: Job, process: int, balancer: str, txn: str, due: float, unreached: int, fresh: bool = False
+        self,
+        job: ClientRequest,
+        process: int,
+        balancer: str,
+        txn: str,
+        due: float,
+        unreached: int,
+        fresh: bool = False,
     ) -> None:
         pool, begun, cls, clients = self._pools[process], self._stage.now(), job.cls, self._script.clients
 
@@ -212,7 +219,7 @@
             after = self._moods.uniform(0.0, max(due - begun, 0.0))
             asyncio.get_running_loop().call_later(after, call.end, Result("left"))
 
-    def _ended(self, job: Job, process: int, result: Result, unreached: int) -> None:
+    def _ended(self, job: ClientRequest, process: int, result: Result, unreached: int) -> None:
         clients, effect = self._script.clients, job.cls.effect
         if result.how == "left":
             self._end(job, "failed", "left")
@@ -226,7 +233,7 @@
             return
         refused = status in (429, 503)
         reason = "refused" if refused else f"failed {status}" if status else result.how
-        age = self._stage.now() - job.first
+        age = self._stage.now() - job.started_at
         may = refused or effect == "safe" or (effect == "keyed" and age < job.cls.window_ms / 1000)
         if not may or job.tries > clients.retries:
             self._end(job, "refused" if refused else "failed", reason)
@@ -236,15 +243,15 @@
             wait = max(wait, result.retry_after_s())
         self._again(job, process, wait, reason, 0)
 
-    def _again(self, job: Job, process: int, wait: float, reason: str, unreached: int) -> None:
+    def _again(self, job: ClientRequest, process: int, wait: float, reason: str, unreached: int) -> None:
         job.reasons.append(reason)
-        if self._stage.now() + wait - job.first >= job.cls.deadline_ms / 1000:
+        if self._stage.now() + wait - job.started_at >= job.cls.deadline_ms / 1000:
             self._end(job, "refused" if reason == "refused" else "failed", reason)
             return
         asyncio.get_running_loop().call_later(wait, self._try, job, process, unreached)
 
-    def _end(self, job: Job, outcome: str, reason: str) -> None:
-        job.outcome, job.ended = outcome, self._stage.now()
+    def _end(self, job: ClientRequest, outcome: str, reason: str) -> None:
+        job.outcome, job.ended_at = outcome, self._stage.now()
         if reason:
             job.reasons.append(reason)
         self.open -= 1
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from passpost.rehearsal.clients import Job
+from passpost.rehearsal.clients import ClientRequest
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Run
 
@@ -14,14 +14,14 @@
 OUTCOMES = ("in time", "late", "refused", "failed")
 
 
-def outcome(job: Job) -> str:
+def outcome(job: ClientRequest) -> str:
     """How a first try ended, retries included: one of OUTCOMES."""
     if job.outcome == "served":
-        return "in time" if (job.ended - job.first) * 1000 <= job.cls.aim_ms else "late"
+        return "in time" if (job.ended_at - job.started_at) * 1000 <= job.cls.aim_ms else "late"
     return "refused" if job.outcome == "refused" else "failed"
 
 
-def worth(job: Job) -> float:
+def worth(job: ClientRequest) -> float:
     """The worth of its answer."""
     return job.cls.worth * {"in time": 1.0, "late": job.cls.late_share}.get(outcome(job), 0.0)
 
@@ -102,7 +102,7 @@
 
 def summarize(night: Run) -> Summary:
     """The figures of a night."""
-    jobs = [job for job in night.jobs if job.outcome]
+    jobs = [job for job in night.requests if job.outcome]
     counts = Counter(b.rule for b in night.violations)
     each = max(len(jobs), 1)
     return Summary(
@@ -125,10 +125,10 @@
     )
 
 
-def _line(name: str, jobs: list[Job]) -> Line:
+def _line(name: str, jobs: list[ClientRequest]) -> Line:
     total = max(len(jobs), 1)
     count = Counter(map(outcome, jobs))
-    times = sorted((j.ended - j.first) * 1000 for j in jobs if j.outcome == "served")
+    times = sorted((j.ended_at - j.started_at) * 1000 for j in jobs if j.outcome == "served")
     asked = sum(j.cls.worth for j in jobs)
     return Line(
         name=name,
@@ -151,8 +151,8 @@
 def by_second(night: Run) -> list[Counter[str]]:
     """Outcomes of first tries, by the second in which they were first sent."""
     seconds = [Counter[str]() for _ in range(int(night.ended_at - night.started_at) + 1)]
-    for job in night.jobs:
-        at = int(job.first - night.started_at)
+    for job in night.requests:
+        at = int(job.started_at - night.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][outcome(job)] += 1
     while len(seconds) > 1 and not seconds[-1]:
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -15,7 +15,7 @@
 from passpost.host import Address
 from passpost.operator.model import Discovered, File
 from passpost.rehearsal import carried, model, platform_file
-from passpost.rehearsal.clients import Clients, Job
+from passpost.rehearsal.clients import ClientRequest, Clients
 from passpost.rehearsal.model import Kind, Script, Tier
 from passpost.rehearsal.nodes import Effects, Node
 from passpost.rehearsal.registry import Entry, Registry
@@ -44,7 +44,7 @@
 
     script: Script
     seed: int
-    jobs: list[Job] = field(default_factory=list)
+    requests: list[ClientRequest] = field(default_factory=list)
     violations: list[Break] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # of the program: a crash, an error that nobody caught
     samples: list[Sample] = field(default_factory=list)
@@ -191,7 +191,7 @@
             if place.node is not None:
                 self.stage.run_as(place.name, place.node.close)
         self.watch.ended(self.stage.now())
-        night.jobs, night.violations = self.clients.jobs, self.watch.breaks
+        night.requests, night.violations = self.clients.requests, self.watch.breaks
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
         night.attempts, night.ended_at = self.watch.attempts, self.stage.now()
         return night
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -80,7 +80,7 @@
     file = good()
     played = play(script(file, *FAULTS, tiers=2), 3, file=file)
     assert played.is_good(), (played.faults, played.violations)
-    assert played.attempts > 1.5 * len(played.jobs)
+    assert played.attempts > 1.5 * len(played.requests)
 
 
 def test_reloads_under_load_lose_nothing() -> None:
@@ -88,7 +88,7 @@
     reloads = [model.Reload(at_s=0.2 * i, balancer="b1") for i in range(1, 12)]
     played = play(script(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
     assert played.is_good(), (played.faults, played.violations)
-    assert len(played.jobs) > 150 and summarize(played).whole.served == 1.0
+    assert len(played.requests) > 150 and summarize(played).whole.served == 1.0
     assert Counter(text for _, text in played.log)["b1: discovery moves, SIGHUP"] == 11
 
 
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -31,7 +31,7 @@
     assert violations(night) == [], "\n".join(
         line for v in violations(night) for line in (v.what, *v.timeline)
     )
-    assert any(job.outcome == "served" for job in night.jobs)
+    assert any(job.outcome == "served" for job in night.requests)
 
 
 def test_a_seed_draws_the_same_scenario_each_time_and_another_one_another() -> None:
