--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -65,7 +65,7 @@
     raise MismatchError("sidecar.application", f"{script.sidecar.application!r} is none of {names}")
 
 
-def merged(script: Script, file: File) -> Script:
+def merge_operator_file(script: Script, file: File) -> Script:
     """The script with all that the file says; raises MismatchError where they contradict each other."""
     application = application_of(script, file)
     known = {c.name: c for c in application.classes}
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -91,7 +91,7 @@
         speech = Speech()
         if script.sidecar is not None:
             file = file or carried.read(script.sidecar.file)
-            script, speech = carried.merged(script, file), carried.speech(script, file)
+            script, speech = carried.merge_operator_file(script, file), carried.speech(script, file)
         self._file, self._speech = file, speech
         self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
         self.watch = Watch(script.contract)
