--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -40,7 +40,7 @@
         self.key, self.text = key, text
 
 
-def read(path: str) -> File:
+def read_operator_file(path: str) -> File:
     """The operator's file; raises MismatchError if it is not fit to run."""
     try:
         reading = load(path)
--- a/passpost/rehearsal/script.py
+++ b/passpost/rehearsal/script.py
@@ -57,7 +57,7 @@
             script, sidecar=model.Sidecar(file=file, application=script.sidecar.application)
         )
         try:
-            carried.merge_operator_file(script, carried.read(file))
+            carried.merge_operator_file(script, carried.read_operator_file(file))
         except carried.MismatchError as error:
             raise ScriptError(f"{path}: {error}") from None
     return script
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -90,7 +90,7 @@
         """`ready_within`: seconds after its start in which each front has to be ready; None: not looked at."""
         speech = Speech()
         if script.sidecar is not None:
-            file = file or carried.read(script.sidecar.file)
+            file = file or carried.read_operator_file(script.sidecar.file)
             script, speech = carried.merge_operator_file(script, file), carried.speech(script, file)
         self._file, self._speech = file, speech
         self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -194,7 +194,7 @@
 def test_a_file_that_can_not_be_rehearsed_is_named(tmp_path: Path, edits: Any, reason: str) -> None:
     (tmp_path / "f.toml").write_text(broken(*edits))
     with pytest.raises(MismatchError, match=reason):
-        carried.merge_operator_file(script(good()), carried.read(str(tmp_path / "f.toml")))
+        carried.merge_operator_file(script(good()), carried.read_operator_file(str(tmp_path / "f.toml")))
 
 
 # ---- random edits
