--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -153,7 +153,7 @@
     return PlainSpeech(application_of(script, file), file.health.path)
 
 
-def start(file: File, seed: str, host: Host = HOST, module: type[Balancer] = Balancer) -> Sidecar:
+def start_sidecar(file: File, seed: str, host: Host = HOST, module: type[Balancer] = Balancer) -> Sidecar:
     """A sidecar that serves; the same seed draws the same."""
     sidecar = Sidecar(file, environment(file), host, module, random.Random(seed).getrandbits)
     sidecar.start()
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -145,7 +145,7 @@
         def start() -> None:
             try:
                 if isinstance(config, File):
-                    running.node = carried.start(config, seed, host, module)
+                    running.node = carried.start_sidecar(config, seed, host, module)
                 else:
                     running.node = Node(platform.read(config), host, module)
             except Exception as error:
