--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -12,7 +12,7 @@
 from passpost.cli import command
 from passpost.rehearsal import model
 from passpost.rehearsal.script import dump, load
-from tests.rehearsal.nights import script
+from tests.rehearsal.nights import small_scenario
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -20,7 +20,9 @@
 @pytest.fixture
 def night(tmp_path: Path) -> str:
     path = tmp_path / "night.toml"
-    path.write_text(dump(script(model.Slow(at_s=0.5, for_s=1.0, nodes=("render-plain-1",)), length_s=2.0)))
+    path.write_text(
+        dump(small_scenario(model.Slow(at_s=0.5, for_s=1.0, nodes=("render-plain-1",)), length_s=2.0))
+    )
     return str(path)
 
 
@@ -84,7 +86,7 @@
 
 def test_a_live_night_that_can_not_be_is_status_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "night.toml"
-    path.write_text(dump(script(model.Clock(at_s=1.0, balancer="b1", by_s=5.0))))
+    path.write_text(dump(small_scenario(model.Clock(at_s=1.0, balancer="b1", by_s=5.0))))
     assert command.run(["rehearse", str(path), "--live"]) == 2
     assert "events[0].kind: 'clock' can't be played live" in capsys.readouterr().err
 
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -20,7 +20,7 @@
 INVOICE = Class(name="invoice", work_ms=20, aim_ms=400, deadline_ms=1_500, effect="unsafe")
 
 
-def script(*events: Event, tiers: int = 1, **changes: Any) -> Script:
+def small_scenario(*events: Event, tiers: int = 1, **changes: Any) -> Script:
     """A small night of five seconds."""
     kinds = (Kind(name="fast", count=1, speed=2.0), Kind(name="plain", count=3))
     last = Tier(name="render", kinds=kinds, balancers=1 if tiers > 1 else 2, part=0.5 if tiers > 1 else 1.0)
--- a/tests/rehearsal/test_live.py
+++ b/tests/rehearsal/test_live.py
@@ -8,7 +8,7 @@
 from passpost.rehearsal.live import UnplayableError, check, play
 from passpost.rehearsal.model import Class, Clients
 from passpost.rehearsal.summary import summarize
-from tests.rehearsal.nights import script
+from tests.rehearsal.nights import small_scenario
 
 # Times that no busy machine misses: what is tested is that the parts work together.
 PATIENT = Class(name="frame", work_ms=5, aim_ms=20_000, deadline_ms=40_000)
@@ -16,7 +16,7 @@
 
 def test_a_short_night_with_real_processes() -> None:
     night = play(
-        script(
+        small_scenario(
             model.Drain(at_s=0.3, for_s=0.6, nodes=("render-plain-1",), back_s=0.2),
             model.Crash(at_s=0.8, for_s=0.3, nodes=("render-plain-2",)),
             model.Reload(at_s=0.5, balancer="b1"),
@@ -36,7 +36,7 @@
 
 def test_attempts_are_written_down_as_nodes_see_them() -> None:
     lines: list[str] = []
-    night = play(script(length_s=0.5, classes=(PATIENT,)), 1, lines.append)
+    night = play(small_scenario(length_s=0.5, classes=(PATIENT,)), 1, lines.append)
     assert len(lines) == night.attempts and all(line.split()[3] == "send" for line in lines)
 
 
@@ -51,4 +51,4 @@
 )
 def test_what_can_not_be_played_live_is_refused(event: model.Event, reason: str) -> None:
     with pytest.raises(UnplayableError, match=reason):
-        check(script(event))
+        check(small_scenario(event))
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -22,7 +22,7 @@
 from passpost.rehearsal.summary import by_second, summarize
 from passpost.rehearsal.virtual import play
 from tests.rehearsal import nights
-from tests.rehearsal.nights import NIGHT_FAULTS, decisions, script
+from tests.rehearsal.nights import NIGHT_FAULTS, decisions, small_scenario
 
 ROOT = Path(__file__).parent.parent.parent
 SHIPPED = sorted((ROOT / "rehearsals").glob("*.toml"))
@@ -40,7 +40,7 @@
 
 
 def test_a_calm_night_serves_all_through_two_tiers() -> None:
-    night = play(script(tiers=2), 1)
+    night = play(small_scenario(tiers=2), 1)
     figures = summarize(night)
     assert night.is_good(), (night.faults, night.violations)
     assert figures.whole.served == 1.0 and figures.whole.requests > 150
@@ -50,7 +50,7 @@
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
     path = tmp_path / "night.toml"
-    path.write_text(dump(script(*NIGHT_FAULTS, tiers=1, clients=Clients(rate_per_s=250))))
+    path.write_text(dump(small_scenario(*NIGHT_FAULTS, tiers=1, clients=Clients(rate_per_s=250))))
 
     def lines(seed: int, hashing: str) -> bytes:
         done = subprocess.run(
@@ -101,7 +101,7 @@
 
 
 def test_one_that_sends_twice_is_caught() -> None:
-    night, _ = decisions(script(), 1, nights.ServesTwice)
+    night, _ = decisions(small_scenario(), 1, nights.ServesTwice)
     assert "twice" in rules(night)
     story = next(b for b in night.violations if b.rule == "twice").story
     assert any("invoice, unsafe" in line for line in story)
@@ -110,15 +110,15 @@
 
 def test_one_that_sends_after_a_drain_is_caught() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
-    assert play(script(drain), 1).is_good()
-    night, _ = decisions(script(drain), 1, nights.IgnoresDrains)
+    assert play(small_scenario(drain), 1).is_good()
+    night, _ = decisions(small_scenario(drain), 1, nights.IgnoresDrains)
     assert rules(night) == {"drain"}
     assert "render-plain-1" in night.violations[0].text
 
 
 def test_one_that_floods_a_cold_node_is_caught() -> None:
     crash = model.Crash(at_s=0.5, for_s=0.5, nodes=("render-plain-1",))
-    busy = script(crash, clients=Clients(rate_per_s=120))
+    busy = small_scenario(crash, clients=Clients(rate_per_s=120))
     assert play(busy, 1).is_good()
     night, _ = decisions(busy, 1, nights.FloodsTheCold)
     assert rules(night) == {"cold"}
@@ -137,7 +137,7 @@
             finish(self, status, *more)
 
     monkeypatch.setattr(connection.Connection, "_finish", drop)
-    night = play(script(), 1)
+    night = play(small_scenario(), 1)
     assert rules(night) == {"lost"}
     assert "closed with no whole answer" in night.violations[0].text
 
@@ -149,7 +149,7 @@
         serve(self, type(answer)(200, answer.headers, b"made up", answer.reusable))
 
     monkeypatch.setattr(connection.Connection, "serve", other)
-    assert rules(play(script(), 1)) == {"lost"}
+    assert rules(play(small_scenario(), 1)) == {"lost"}
 
 
 def test_a_crash_of_the_program_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -157,7 +157,7 @@
         raise ZeroDivisionError("on purpose")
 
     monkeypatch.setattr(connection.Connection, "_take", fail)
-    night = play(script(), 1)
+    night = play(small_scenario(), 1)
     assert any("on purpose" in fault for fault in night.faults) and not night.is_good()
 
 
@@ -165,7 +165,7 @@
 
 
 def test_bytes_split_anywhere_change_no_outcome() -> None:
-    night = play(script(network=Network(split=1.0)), 2)
+    night = play(small_scenario(network=Network(split=1.0)), 2)
     assert night.is_good() and summarize(night).whole.served == 1.0
 
 
@@ -173,7 +173,7 @@
     crashes = tuple(
         model.Crash(at_s=0.5 + i, for_s=0.05, nodes=("render-*",), count=1, back_as="same") for i in range(4)
     )
-    night = play(script(*crashes, clients=Clients(rate_per_s=120)), 3)
+    night = play(small_scenario(*crashes, clients=Clients(rate_per_s=120)), 3)
     assert night.is_good(), (night.faults, night.violations)
 
 
@@ -181,7 +181,7 @@
     steps = tuple(
         model.Clock(at_s=at, balancer="b1", by_s=by) for at, by in ((0.5, -5_000.0), (2.0, 9_000.0))
     )
-    night = play(script(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
+    night = play(small_scenario(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
     assert night.is_good(), (night.faults, night.violations)
     assert summarize(night).whole.served == 1.0
 
@@ -189,14 +189,16 @@
 def test_a_restart_lets_callers_go_before_the_kill_however_long_their_deadlines_are() -> None:
     # Of the longest deadline the platform waits 3 s at most: a drain that reckons with 8 s never came to its end.
     patient = (msgspec.structs.replace(nights.FRAME, deadline_ms=8_000), nights.SUBMIT)
-    night = play(script(model.Stop(at_s=1.0, balancer="b1", back_s=0.1), length_s=7.0, classes=patient), 1)
+    night = play(
+        small_scenario(model.Stop(at_s=1.0, balancer="b1", back_s=0.1), length_s=7.0, classes=patient), 1
+    )
     assert night.is_good(), (night.faults, night.violations)
     assert not any("killed" in said for _, said in night.log), night.log
 
 
 def test_the_list_may_be_pushed() -> None:
     night = play(
-        script(
+        small_scenario(
             model.ListDown(at_s=1.0, for_s=1.5),
             model.Drain(at_s=1.2, for_s=1.0, nodes=("render-fast-1",), back_s=0.5),
             discovery=model.Discovery(mode="push", notice_s=(0.1, 0.2)),
@@ -209,19 +211,19 @@
 
 def test_a_fleet_that_is_gone_refuses_and_ends() -> None:
     gone = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
-    night = play(script(gone), 1)
+    night = play(small_scenario(gone), 1)
     assert night.is_good(), (night.faults, night.violations)
     assert 0 < summarize(night).whole.served < 0.5
 
 
 def test_balancers_that_never_get_ready_end_the_night(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener.Server, "is_ready", lambda self: False)
-    night = play(script(), 1)
+    night = play(small_scenario(), 1)
     assert night.faults == ["the balancers did not get ready"]
 
 
 def test_refused_clients_are_told_when_to_return_and_some_keep_to_it() -> None:
-    rush = script(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
+    rush = small_scenario(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
     night = play(msgspec.structs.replace(rush, length_s=2.0), 1)
     assert night.is_good(), (night.faults, night.violations)
     assert summarize(night).whole.refused > 0
@@ -231,7 +233,7 @@
 
 
 def test_exploring_finds_a_broken_balancer_and_shrinks_the_night() -> None:
-    base = script(model.Slow(at_s=1.0, for_s=1.0, nodes=("render-plain-2",)))
+    base = small_scenario(model.Slow(at_s=1.0, for_s=1.0, nodes=("render-plain-2",)))
     base = msgspec.structs.replace(
         base, events=(*base.events, model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",)))
     )
@@ -245,7 +247,7 @@
 
 
 def test_exploring_gives_the_same_result_with_any_number_of_processes() -> None:
-    base: Script = msgspec.structs.replace(script(), length_s=1.0)
+    base: Script = msgspec.structs.replace(small_scenario(), length_s=1.0)
     assert (
         exploring.explore(base, range(1, 7), 1, 3) == exploring.explore(base, range(1, 7), 3, 3) == (None, 6)
     )
@@ -256,7 +258,7 @@
 
 def test_the_report_needs_nothing_else_and_shows_what_happened() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
-    night, _ = decisions(script(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
+    night, _ = decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
     page = write(night)
     assert not re.search(r"(src|href)=|https?://|@import|url\(", page)
     assert "Fish &amp; &lt;chips&gt;" in page and "<chips>" not in page
@@ -265,7 +267,7 @@
 
 
 def test_the_report_of_a_calm_night_says_so() -> None:
-    page = write(play(script(), 1))
+    page = write(play(small_scenario(), 1))
     assert "all four rules kept" in page and "a calm night" in page
 
 
--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -11,10 +11,10 @@
 
 from passpost.rehearsal.explore import draw
 from passpost.rehearsal.script import ScriptError, dump, load, parse
-from tests.rehearsal.nights import script
+from tests.rehearsal.nights import small_scenario
 
 SHIPPED = sorted((Path(__file__).parent.parent.parent / "rehearsals").rglob("*.toml"))
-GOOD = dump(script())
+GOOD = dump(small_scenario())
 
 
 def reason(text: str) -> str:
@@ -130,7 +130,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10**9), st.integers(0, 8))
 def test_drawn_nights_are_allowed_and_come_back_as_they_were(seed: int, most: int) -> None:
-    night = draw(script(tiers=2), seed, most)
+    night = draw(small_scenario(tiers=2), seed, most)
     text = dump(night)
     assert parse(text, "again") == night
     assert dump(parse(text, "again")) == text
