--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -39,7 +39,7 @@
     return msgspec.convert(msgspec.to_builtins(Script(**(base | changes))), Script)
 
 
-def decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Run, list[str]]:
+def run_with_decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Run, list[str]]:
     lines: list[str] = []
     return play(night, seed, lines.append, module=module), lines
 
@@ -97,7 +97,7 @@
         return young[0] if young else super()._pick(request, now)
 
 
-NIGHT_FAULTS: tuple[Event, ...] = (
+MIXED_FAULTS: tuple[Event, ...] = (
     model.Slow(at_s=1.0, for_s=2.0, nodes=("render-plain-1",), factor=5.0),
     model.Silent(at_s=1.5, for_s=1.5, nodes=("render-plain-2",)),
     model.Crash(at_s=2.0, for_s=1.0, nodes=("render-fast-1",)),
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -22,7 +22,7 @@
 from passpost.rehearsal.summary import by_second, summarize
 from passpost.rehearsal.virtual import play
 from tests.rehearsal import nights
-from tests.rehearsal.nights import NIGHT_FAULTS, decisions, small_scenario
+from tests.rehearsal.nights import MIXED_FAULTS, run_with_decisions, small_scenario
 
 ROOT = Path(__file__).parent.parent.parent
 SHIPPED = sorted((ROOT / "rehearsals").glob("*.toml"))
@@ -50,7 +50,7 @@
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
     path = tmp_path / "night.toml"
-    path.write_text(dump(small_scenario(*NIGHT_FAULTS, tiers=1, clients=Clients(rate_per_s=250))))
+    path.write_text(dump(small_scenario(*MIXED_FAULTS, tiers=1, clients=Clients(rate_per_s=250))))
 
     def lines(seed: int, hashing: str) -> bytes:
         done = subprocess.run(
@@ -101,7 +101,7 @@
 
 
 def test_one_that_sends_twice_is_caught() -> None:
-    night, _ = decisions(small_scenario(), 1, nights.ServesTwice)
+    night, _ = run_with_decisions(small_scenario(), 1, nights.ServesTwice)
     assert "twice" in rules(night)
     story = next(b for b in night.violations if b.rule == "twice").story
     assert any("invoice, unsafe" in line for line in story)
@@ -111,7 +111,7 @@
 def test_one_that_sends_after_a_drain_is_caught() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
     assert play(small_scenario(drain), 1).is_good()
-    night, _ = decisions(small_scenario(drain), 1, nights.IgnoresDrains)
+    night, _ = run_with_decisions(small_scenario(drain), 1, nights.IgnoresDrains)
     assert rules(night) == {"drain"}
     assert "render-plain-1" in night.violations[0].text
 
@@ -120,7 +120,7 @@
     crash = model.Crash(at_s=0.5, for_s=0.5, nodes=("render-plain-1",))
     busy = small_scenario(crash, clients=Clients(rate_per_s=120))
     assert play(busy, 1).is_good()
-    night, _ = decisions(busy, 1, nights.FloodsTheCold)
+    night, _ = run_with_decisions(busy, 1, nights.FloodsTheCold)
     assert rules(night) == {"cold"}
 
 
@@ -258,7 +258,7 @@
 
 def test_the_report_needs_nothing_else_and_shows_what_happened() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
-    night, _ = decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
+    night, _ = run_with_decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
     page = write(night)
     assert not re.search(r"(src|href)=|https?://|@import|url\(", page)
     assert "Fish &amp; &lt;chips&gt;" in page and "<chips>" not in page
