--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -228,7 +228,7 @@
         async def night() -> Run:
             stage = LiveStage(Path(folder), workers)
             world = World(stage, script, seed, progress, ready_within=ready_within)
-            world.watch.sink = sink
+            world.checker.sink = sink
             try:
                 return await world.simulate()
             finally:
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -235,7 +235,7 @@
     except StuckError as error:
         night = world.run
         night.faults.append(str(error))
-        night.requests, night.violations = world.clients.requests, world.watch.breaks
+        night.requests, night.violations = world.clients.requests, world.checker.breaks
         night.ended_at = stage.now()
     finally:
         log.removeHandler(handler)
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -94,7 +94,7 @@
             script, speech = carried.merge_operator_file(script, file), carried.speech(script, file)
         self._file, self._speech = file, speech
         self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
-        self.watch = Watch(script.contract)
+        self.checker = Watch(script.contract)
         self.run = Run(script, seed)
         self._random = random.Random(f"world {seed}")
         self._classes = {c.name: c for c in script.classes}
@@ -113,7 +113,7 @@
         self._stopped: dict[str, float] = {}  # ... and last told to stop
         self.registry = Registry(
             stage,
-            self.watch,
+            self.checker,
             script.discovery,
             script.contract.ask_within_ms / 1000,
             seed,
@@ -121,7 +121,7 @@
             lambda balancer: script.tiers[self._tier_of_balancer[balancer]].name,
         )
         self.registry.reachable = lambda balancer, since: not self._excuse(balancer, since)
-        self.clients = Clients(stage, self.watch, script, seed, self._excuse, speech)
+        self.clients = Clients(stage, self.checker, script, seed, self._excuse, speech)
 
     # ---- building
 
@@ -190,10 +190,10 @@
         for place in self._all_places:
             if place.node is not None:
                 self.stage.run_as(place.name, place.node.close)
-        self.watch.ended(self.stage.now())
-        night.requests, night.violations = self.clients.requests, self.watch.breaks
-        night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
-        night.attempts, night.ended_at = self.watch.attempts, self.stage.now()
+        self.checker.ended(self.stage.now())
+        night.requests, night.violations = self.clients.requests, self.checker.breaks
+        night.left_waiting, night.sent_after = self.checker.left_waiting, self.checker.sent_after
+        night.attempts, night.ended_at = self.checker.attempts, self.stage.now()
         return night
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
@@ -217,7 +217,7 @@
             name,
             lambda: Node(
                 self.stage,
-                self.watch,
+                self.checker,
                 name,
                 place.tier,
                 place.kind,
@@ -274,7 +274,7 @@
         if self._over:
             return
         self.registry.balancer_ended(name)
-        self.watch.forget_balancer(name)
+        self.checker.forget_balancer(name)
         if status not in (0, None):
             self.run.faults.append(f"{name} ended with status {status}")
 
@@ -483,7 +483,7 @@
 
         def wake() -> None:
             self.stage.pause(name, False)
-            self.watch.woke(self.stage.now(), name, slept_from)
+            self.checker.woke(self.stage.now(), name, slept_from)
 
         self._after(seconds, wake)
 
