--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -45,7 +45,7 @@
     night = virtual.play(fleet(balancers, nodes, rate, seconds), 1)
     figures = summarize(night)
     return {
-        "night": night.script.title,
+        "night": night.scenario.title,
         "simulated_s": round(figures.seconds, 1),
         "wall_s": round(night.wall_s, 2),
         "simulated_s_a_wall_s": round(figures.seconds / night.wall_s, 2),
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -33,7 +33,7 @@
     )
     parts = [
         f"<h1>{escape(figures.title)}</h1>",
-        f"<p>{escape(night.script.about)}</p>" if night.script.about else "",
+        f"<p>{escape(night.scenario.about)}</p>" if night.scenario.about else "",
         f"<p>seed {figures.seed}, {figures.seconds:.0f} s, {figures.whole.requests:,} requests, "
         f"{figures.whole.served:.1%} served: {verdict}</p>",
         _table(figures),
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -106,15 +106,17 @@
     counts = Counter(b.rule for b in night.violations)
     each = max(len(jobs), 1)
     return Summary(
-        title=night.script.title,
+        title=night.scenario.title,
         seed=night.seed,
         seconds=night.ended_at - night.started_at,
         wall_s=night.wall_s,
         whole=_line("all", jobs),
         by_class=tuple(
-            _line(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes
+            _line(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.scenario.classes
+        ),
+        by_tenant=tuple(
+            _line(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.scenario.tenants
         ),
-        by_tenant=tuple(_line(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
         attempts=night.attempts,
         attempts_each=night.attempts / each,
         tries_each=sum(j.tries for j in jobs) / each,
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -42,7 +42,7 @@
 class Run:
     """What came of a night."""
 
-    script: Script
+    scenario: Script
     seed: int
     requests: list[ClientRequest] = field(default_factory=list)
     violations: list[Break] = field(default_factory=list)
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -73,7 +73,7 @@
         "frame",
         "pay",
     }
-    assert played.script.classes[0].window_ms == 3_000 and played.script.contract.attempts == 3
+    assert played.scenario.classes[0].window_ms == 3_000 and played.scenario.contract.attempts == 3
 
 
 def test_a_second_tier_behind_a_sidecar_speaks_the_platform_s_form() -> None:
