--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -109,8 +109,8 @@
 
 def _loads(night: Run) -> str:
     """A strip for each node: the darker, the more requests are inside; white: it does not run."""
-    names = sorted({name for sample in night.samples for name in sample.holding})
-    most = max((n for sample in night.samples for n in sample.holding.values()), default=1) or 1
+    names = sorted({name for sample in night.samples for name in sample.requests_by_node})
+    most = max((n for sample in night.samples for n in sample.requests_by_node.values()), default=1) or 1
     tall = 12 if len(names) <= 60 else 3
     boxes = []
     for row, name in enumerate(names):
@@ -118,7 +118,7 @@
         if tall > 10:
             boxes.append(f'<text x="{LEFT - 6}" y="{y + 10}" text-anchor="end">{escape(name[-18:])}</text>')
         for sample, after in zip(night.samples, [*night.samples[1:], None], strict=True):
-            inside = sample.holding.get(name)
+            inside = sample.requests_by_node.get(name)
             if inside is not None:
                 x = _x(night, sample.at)
                 wide = _x(night, after.at if after else night.ended_at) - x
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -34,7 +34,7 @@
     """The state of the fleet at a moment: jobs inside each node."""
 
     at: float
-    holding: dict[str, int]
+    requests_by_node: dict[str, int]
     ready: int
 
 
