--- a/passpost/rehearsal/machine.py
+++ b/passpost/rehearsal/machine.py
@@ -1,11 +1,11 @@
-"""A render node's insides: cores that share, slots, a waiting room, cold starts, crowding. No I/O.
+"""Model of a simulated node: shared cores, slots, a wait queue, cold starts and overcrowding. No I/O.
 
-Jobs in work share the cores evenly: with n of them on c cores each gets min(1, c/n) of a core, so that work
-advances by one common measure, and the next to finish is the one with the least left. A job keeps its slot
-while it waits for the next tier, when it takes no core. A node that has started lately does part of its work
-only; sent more than `overload_factor` times that for `overload_ms` it falls over and stays down.
+Running jobs share the cores evenly: with n jobs on c cores each job gets min(1, c/n) of a core. Work therefore
+advances at one common rate, and the job with the least remaining work finishes next. A job that waits for the
+next tier keeps its slot but uses no core. A node that started lately (a cold node) has part of its capacity
+only. If it is sent more than `overload_factor` times that capacity for `overload_ms`, it collapses and stays down.
 
-Times are seconds of the night; work is in milliseconds of a core of speed 1.
+Times are in seconds of simulation time. Work is in milliseconds of a core with speed 1.
 """
 
 from __future__ import annotations
@@ -17,155 +17,175 @@
 
 from passpost.rehearsal.model import Contract, Kind
 
-COLD_STEP_S = 0.05  # a cold node's speed is taken as even for so long
-CROWD_OVER_S = 2.0  # crowding is judged by the mean over this
-REST_SHARE, REST_S = 0.3, 3.0  # a choked node recovers when its cores were under this busy for so long
-SLACK_MS = 60.0  # work beyond the budget of a cold node, for chance: a handful of requests
+WARM_UP_STEP_S = 0.05  # step in which the speed of a cold node is taken as constant
+CROWDING_WINDOW_S = 2.0  # time constant of the exponential mean of the request count
+RECOVERY_BUSY_SHARE, RECOVERY_S = (
+    0.3,
+    3.0,
+)  # an overcrowded node recovers after this long at or below this busy share
+OVERLOAD_SLACK_MS = 60.0  # allowance above a cold node's budget for random bursts: a handful of requests
 
 
 @dataclass(slots=True)
 class Job:
-    """A request inside the node; `work` is what is left to do in this phase when it starts."""
+    """A request inside the node; `work` is the total work of its current phase, in milliseconds."""
 
     number: int
     work: float
 
 
 class Machine:
-    """One node's cores and queue. `advance` first, then ask: all other calls take that moment as now."""
+    """Cores and wait queue of one node.
+
+    Callers call `advance` first; every other method uses the time of the last `advance` as now.
+    """
 
     def __init__(self, kind: Kind, contract: Contract, now: float, cold: bool) -> None:
         self.kind, self._contract = kind, contract
-        self.now, self.started = now, now if cold else -math.inf
-        self.slower = 1.0  # by faults
-        self.choked, self.fallen = False, False
-        self.held_up = False  # nothing moves
-        self._done = 0.0  # work that each job in work has got since the start
-        self._running: list[tuple[float, int]] = []  # (what `_done` is at its end, job)
-        self._extra = 0.0  # work on connections
+        self.now, self.started_at = now, now if cold else -math.inf
+        self.slowdown = 1.0  # factor set by injected faults
+        self.overcrowded, self.collapsed = False, False
+        self.stopped = False  # no work advances
+        self._work_per_job_ms = 0.0  # work that a job running all the time has received
+        # Heap of (value of `_work_per_job_ms` at which the job finishes, job number).
+        self._running: list[tuple[float, int]] = []
+        self._connect_work_ms = 0.0  # work for new connections, charged to the next job that starts
         self._waiting: deque[Job] = deque()
-        self.holding = 0  # slots taken
-        self._crowd, self._rested = 0.0, 0.0
-        self._pressure, self._pressure_by = 0.0, dict[str, float]()
+        self.request_count = 0  # jobs with a slot and jobs in the wait queue
+        self._mean_requests, self._calm_s = 0.0, 0.0
+        self._pressure_ms, self._pressure_by_sender_ms = 0.0, dict[str, float]()
 
-    # ---- measures
+    # ---- capacity and load
 
     def warmth(self) -> float:
-        """The share of its capacity that it has."""
-        age, cold = self.now - self.started, self._contract.cold_ms / 1000
-        if age >= cold:
+        """Share of full capacity that is available, in (0, 1]; it rises linearly during a cold start."""
+        age_s, cold_s = self.now - self.started_at, self._contract.cold_ms / 1000
+        if age_s >= cold_s:
             return 1.0
-        start = self._contract.cold_from
-        return start + (1 - start) * max(age, 0.0) / cold
+        cold_from = self._contract.cold_from
+        return cold_from + (1 - cold_from) * max(age_s, 0.0) / cold_s
 
     def capacity(self) -> float:
-        """Work it could do in a second now, in milliseconds; faults not counted."""
+        """Current capacity in milliseconds of work per second, without the slowdown from faults."""
         return self.kind.cores * self.kind.speed * self.warmth() * 1000
 
-    def in_work(self) -> int:
-        """Jobs that take cores."""
+    def running_count(self) -> int:
+        """Number of jobs that use the cores."""
         return len(self._running)
 
-    def queued(self) -> int:
-        """Jobs in the waiting room."""
+    def queued_count(self) -> int:
+        """Number of jobs in the wait queue."""
         return len(self._waiting)
 
-    def _rate(self) -> float:
-        """Work that each job in work gets in a second."""
-        if not self._running or self.held_up or self.fallen:
+    def _work_rate_ms_per_s(self) -> float:
+        """Work that each running job receives per second, in milliseconds."""
+        if not self._running or self.stopped or self.collapsed:
             return 0.0
-        slower = self.slower * (self.kind.crowd_factor if self.choked else 1.0)
-        return self.capacity() / max(len(self._running), self.kind.cores) / slower
+        slowdown = self.slowdown * (self.kind.crowd_factor if self.overcrowded else 1.0)
+        return self.capacity() / max(len(self._running), self.kind.cores) / slowdown
 
-    # ---- happenings
+    # ---- requests and the passage of time
 
     def offer(self, job: Job, sender: str) -> bool:
-        """A request is there. False: turned away, as slots and waiting room are full."""
-        self._press(job.work, sender)
-        if self.fallen or self.holding >= self.kind.slots + self.kind.queue:
+        """Accept a request. Return False if the node has collapsed or its slots and wait queue are full."""
+        self._add_pressure(job.work, sender)
+        if self.collapsed or self.request_count >= self.kind.slots + self.kind.queue:
             return False
-        if self.holding - len(self._waiting) >= self.kind.slots:
+        if self.request_count - len(self._waiting) >= self.kind.slots:
             self._waiting.append(job)
         else:
             self._start(job)
-        self.holding += 1
+        self.request_count += 1
         return True
 
     def resume(self, job: Job) -> None:
-        """A job that kept its slot without a core has work again."""
+        """Start the next phase of a job that has a slot and is not running."""
         self._start(job)
 
-    def leave(self) -> Job | None:
-        """A job that is not in work gives up its slot; the result is the one that takes it over, if any.
+    def release_slot(self) -> Job | None:
+        """Release the slot of a job that is not running; return the queued job that takes it over, if any.
 
-        The caller decides whether that one is still wanted, and starts it with `resume` or lets it `leave`.
+        The caller either starts the returned job with `resume` or, if it is no longer wanted, calls
+        `release_slot` again for it.
         """
-        self.holding -= 1
+        self.request_count -= 1
         return self._waiting.popleft() if self._waiting else None
 
-    def connected(self) -> None:
-        """A new connection costs the cores some work."""
-        self._extra += self.kind.connect_work_ms
+    def add_connection(self) -> None:
+        """Charge the work that a new connection costs."""
+        self._connect_work_ms += self.kind.connect_work_ms
 
     def _start(self, job: Job) -> None:
-        heappush(self._running, (self._done + job.work + self._extra, job.number))
-        self._extra = 0.0
+        heappush(self._running, (self._work_per_job_ms + job.work + self._connect_work_ms, job.number))
+        self._connect_work_ms = 0.0
 
     def advance(self, now: float) -> list[int]:
-        """Go on to `now`; the result is the jobs whose work is done. Call it at `next_at` at the latest."""
-        gap, self.now = now - self.now, now
-        if gap > 0:
-            rate = self._rate()
-            self._done += rate * gap
-            self._note_crowd(gap)
-        ended = []
-        while self._running and self._running[0][0] <= self._done + 1e-6:
-            ended.append(heappop(self._running)[1])
+        """Advance to `now` and return the numbers of the jobs that finished.
+
+        Has to be called no later than `next_event_at`.
+        """
+        elapsed_s, self.now = now - self.now, now
+        if elapsed_s > 0:
+            rate = self._work_rate_ms_per_s()
+            self._work_per_job_ms += rate * elapsed_s
+            self._update_crowding(elapsed_s)
+        finished = []
+        while self._running and self._running[0][0] <= self._work_per_job_ms + 1e-6:
+            finished.append(heappop(self._running)[1])
         if not self._running:
-            self._done = 0.0  # no drift over long nights
-        return ended
+            self._work_per_job_ms = 0.0  # keeps rounding errors from growing in long runs
+        return finished
 
-    def next_at(self) -> float | None:
-        """When something may change by itself."""
-        rate = self._rate()
+    def next_event_at(self) -> float | None:
+        """Time of the next finished job or change of rate; None if no work advances."""
+        rate = self._work_rate_ms_per_s()
         if not rate:
             return None
-        at = self.now + (self._running[0][0] - self._done) / rate
+        at = self.now + (self._running[0][0] - self._work_per_job_ms) / rate
         if self.warmth() < 1 or self.kind.crowd:
-            at = min(at, self.now + COLD_STEP_S)
+            at = min(at, self.now + WARM_UP_STEP_S)
         return max(at, self.now + 1e-6)
 
-    # ---- what overdoes it
+    # ---- overload
 
-    def _press(self, work: float, sender: str) -> None:
-        """Work offered to a cold node adds pressure, done or turned away."""
+    def _add_pressure(self, work: float, sender: str) -> None:
+        """Add offered work to the pressure on a cold node, whether the request is accepted or rejected.
+
+        The pressure drains at the node's budget; above its limit the node collapses.
+        """
         if self.warmth() >= 1:
             return
-        budget = self._contract.overload_factor * self.capacity() / 1000  # a millisecond
-        gap = self.now - getattr(self, "_pressed", self.now)
-        self._pressed = self.now
-        left = max(self._pressure - budget * gap * 1000, 0.0)
-        fade = left / self._pressure if self._pressure else 0.0
-        self._pressure = left + work
-        self._pressure_by = {k: v * fade for k, v in self._pressure_by.items() if v * fade > 1e-9}
-        self._pressure_by[sender] = self._pressure_by.get(sender, 0.0) + work
-        if self._pressure > budget * self._contract.overload_ms + SLACK_MS:
-            self.fallen = True
-
-    def pressure_by(self) -> dict[str, float]:
-        """Whose work makes up the pressure, by sender."""
-        return dict(self._pressure_by)
-
-    def _note_crowd(self, gap: float) -> None:
+        budget_per_ms = self._contract.overload_factor * self.capacity() / 1000  # work per millisecond
+        elapsed_s = self.now - getattr(self, "_pressure_updated_at", self.now)
+        self._pressure_updated_at = self.now
+        pressure_ms = max(self._pressure_ms - budget_per_ms * elapsed_s * 1000, 0.0)
+        remaining_share = pressure_ms / self._pressure_ms if self._pressure_ms else 0.0
+        self._pressure_ms = pressure_ms + work
+        self._pressure_by_sender_ms = {
+            name: pressure * remaining_share
+            for name, pressure in self._pressure_by_sender_ms.items()
+            if pressure * remaining_share > 1e-9
+        }
+        self._pressure_by_sender_ms[sender] = self._pressure_by_sender_ms.get(sender, 0.0) + work
+        if self._pressure_ms > budget_per_ms * self._contract.overload_ms + OVERLOAD_SLACK_MS:
+            self.collapsed = True
+
+    def pressure_by_sender(self) -> dict[str, float]:
+        """Current pressure in milliseconds of work, by the balancer that sent it."""
+        return dict(self._pressure_by_sender_ms)
+
+    def _update_crowding(self, elapsed_s: float) -> None:
         if not self.kind.crowd:
             return
         cores = self.kind.cores
-        crowd = self.holding
-        fade = math.exp(-gap / CROWD_OVER_S)
-        self._crowd = self._crowd * fade + crowd * (1 - fade)
-        if not self.choked:
-            self.choked = self._crowd > cores + self.kind.crowd * math.sqrt(cores)
-            self._rested = 0.0
+        requests = self.request_count
+        remaining_share = math.exp(-elapsed_s / CROWDING_WINDOW_S)
+        self._mean_requests = self._mean_requests * remaining_share + requests * (1 - remaining_share)
+        if not self.overcrowded:
+            self.overcrowded = self._mean_requests > cores + self.kind.crowd * math.sqrt(cores)
+            self._calm_s = 0.0
         else:
-            self._rested = self._rested + gap if len(self._running) <= REST_SHARE * cores else 0.0
-            self.choked = self._rested < REST_S
+            self._calm_s = (
+                self._calm_s + elapsed_s if len(self._running) <= RECOVERY_BUSY_SHARE * cores else 0.0
+            )
+            self.overcrowded = self._calm_s < RECOVERY_S
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -66,7 +66,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.node.connections[self] = None
-        self.node.machine.connected()
+        self.node.machine.add_connection()
         self._rest()
 
     def data_received(self, data: bytes) -> None:
@@ -194,7 +194,7 @@
         """Do no work, or go on with it."""
         self._advance()
         self.halts += 1 if on else -1
-        self.machine.held_up = self.halts > 0
+        self.machine.stopped = self.halts > 0
         self._advance()
 
     def hang(self, on: bool) -> None:
@@ -205,7 +205,7 @@
     def slow(self, factor: float) -> None:
         """Work so many times slower."""
         self._advance()
-        self.machine.slower *= factor
+        self.machine.slowdown *= factor
         self._advance()
 
     # ---- a request's way
@@ -247,9 +247,9 @@
                 self._turn_away(work)
         else:
             self._works[work.number] = work
-        if self.machine.fallen and not self.said_fallen:
+        if self.machine.collapsed and not self.said_fallen:
             self.said_fallen = True
-            self.watch.fell(now, self.name, self.started, self.machine.pressure_by())
+            self.watch.fell(now, self.name, self.started, self.machine.pressure_by_sender())
         self._advance()
 
     def _draw(self, cls: Class, txn: str) -> float:
@@ -273,7 +273,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if (at := self.machine.next_at()) is not None:
+        if (at := self.machine.next_event_at()) is not None:
             delay = max(at - self.stage.now(), 0.0)
             self._timer = asyncio.get_running_loop().call_later(delay, self._advance)
 
@@ -347,7 +347,7 @@
     def _end(self, work: _Work) -> None:
         """It gives up its slot; who waits gets it, unless its time is over."""
         self._works.pop(work.number, None)
-        following = self.machine.leave()
+        following = self.machine.release_slot()
         while following is not None:
             other = self._works[following.number]
             if other.due > self.stage.now():
@@ -355,7 +355,7 @@
                 return
             self._works.pop(following.number, None)
             self._turn_away(other)
-            following = self.machine.leave()
+            following = self.machine.release_slot()
 
 
 def tell(stage: Stage, watch: Watch, txn: str, result: Result, excuse: str) -> None:
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -571,9 +571,11 @@
         self.registry.change(replace(place.entry))
 
     def _sample(self) -> None:
-        holding = {p.name: p.node.machine.holding for p in self._all_places if p.node is not None}
+        requests_by_node = {
+            p.name: p.node.machine.request_count for p in self._all_places if p.node is not None
+        }
         ready = sum(self.clients.front.is_ready(n) for n in self.clients.front.addresses)
-        self.run.samples.append(Sample(self.stage.now(), holding, ready))
+        self.run.samples.append(Sample(self.stage.now(), requests_by_node, ready))
         self._after(SAMPLE_S, self._sample)
 
 
--- a/tests/rehearsal/test_machine.py
+++ b/tests/rehearsal/test_machine.py
@@ -1,4 +1,4 @@
-"""A render node's insides: shares of cores, slots, cold starts, crowding."""
+"""The model of a simulated node: core sharing, slots, cold starts and overcrowding."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     return Machine(Kind(**(base | changes)), contract, now, cold)
 
 
-def run(node: Machine, until: float) -> list[tuple[float, int]]:
-    """Advance in the node's own steps; what ended and when."""
-    ended = []
-    while (at := node.next_at()) is not None and at <= until:
-        ended += [(round(at, 6), number) for number in node.advance(at)]
-    ended += [(until, number) for number in node.advance(until)]
-    return ended
+def advance_until(node: Machine, until: float) -> list[tuple[float, int]]:
+    """Advance from one event of the node to the next; return (time, job number) of each finished job."""
+    finished = []
+    while (at := node.next_event_at()) is not None and at <= until:
+        finished += [(round(at, 6), number) for number in node.advance(at)]
+    finished += [(until, number) for number in node.advance(until)]
+    return finished
 
 
 def test_jobs_share_the_cores_evenly() -> None:
@@ -32,98 +32,99 @@
     for number in range(4):
         assert node.offer(Job(number, 100.0), "b")
     # Four jobs of 100 ms on two cores: each gets half a core.
-    assert run(node, 1.0) == [(0.2, 0), (0.2, 1), (0.2, 2), (0.2, 3)]
+    assert advance_until(node, 1.0) == [(0.2, 0), (0.2, 1), (0.2, 2), (0.2, 3)]
 
 
-def test_a_lone_job_gets_one_core_not_all() -> None:
+def test_a_single_job_uses_one_core_only() -> None:
     node = machine()
     node.offer(Job(1, 100.0), "b")
-    assert run(node, 1.0) == [(0.1, 1)]
+    assert advance_until(node, 1.0) == [(0.1, 1)]
 
 
-def test_a_faster_core_and_a_fault_change_the_pace_from_then_on() -> None:
+def test_core_speed_and_a_slowdown_fault_change_the_work_rate() -> None:
     node = machine(speed=2.0)
     node.offer(Job(1, 200.0), "b")
-    assert run(node, 0.05) == []
-    node.slower = 4.0
-    assert run(node, 1.0) == [(0.25, 1)]  # 100 ms of work left at 0.5
+    assert advance_until(node, 0.05) == []
+    node.slowdown = 4.0
+    assert advance_until(node, 1.0) == [(0.25, 1)]  # 100 ms of work remain, at a speed of 2 / 4
 
 
-def test_slots_then_the_waiting_room_then_turned_away() -> None:
+def test_requests_take_slots_then_the_wait_queue_then_are_rejected() -> None:
     node = machine()
     assert [node.offer(Job(n, 10.0), "b") for n in range(7)] == [True] * 6 + [False]
-    assert (node.in_work(), node.queued()) == (4, 2)
-    run(node, 1.0)
-    following = node.leave()
-    assert following is not None and following.number == 4
-    node.resume(following)
-    assert (node.in_work(), node.queued(), node.holding) == (1, 1, 5)
+    assert (node.running_count(), node.queued_count()) == (4, 2)
+    advance_until(node, 1.0)
+    next_job = node.release_slot()
+    assert next_job is not None and next_job.number == 4
+    node.resume(next_job)
+    assert (node.running_count(), node.queued_count(), node.request_count) == (1, 1, 5)
 
 
-def test_a_job_that_waits_keeps_its_slot_without_a_core() -> None:
+def test_a_job_waiting_for_the_next_tier_keeps_its_slot_and_uses_no_core() -> None:
     node = machine(slots=1, queue=0)
     node.offer(Job(1, 10.0), "b")
-    assert run(node, 1.0) == [(0.01, 1)]
-    assert not node.offer(Job(2, 10.0), "b")  # it has not left
+    assert advance_until(node, 1.0) == [(0.01, 1)]
+    assert not node.offer(Job(2, 10.0), "b")  # the first job still holds the slot
     node.resume(Job(1, 30.0))
-    assert run(node, 2.0) == [(1.03, 1)]
-    assert node.leave() is None
+    assert advance_until(node, 2.0) == [(1.03, 1)]
+    assert node.release_slot() is None
     assert node.offer(Job(2, 10.0), "b")
 
 
-def test_nothing_moves_while_it_is_held_up() -> None:
+def test_no_work_advances_while_the_node_is_stopped() -> None:
     node = machine()
     node.offer(Job(1, 100.0), "b")
-    run(node, 0.05)
-    node.held_up = True
-    assert node.next_at() is None and run(node, 9.0) == []
-    node.held_up = False
-    assert run(node, 10.0) == [(9.05, 1)]
+    advance_until(node, 0.05)
+    node.stopped = True
+    assert node.next_event_at() is None and advance_until(node, 9.0) == []
+    node.stopped = False
+    assert advance_until(node, 10.0) == [(9.05, 1)]
 
 
-def test_a_cold_node_warms_up_evenly() -> None:
+def test_a_cold_node_warms_up_linearly() -> None:
     node = machine(cold=True, now=100.0)
-    found = []
+    shares = []
     for age in (0, 5, 10, 20):
         node.advance(100.0 + age)
-        found.append(node.warmth())
-    assert found == pytest.approx([0.2, 0.6, 1.0, 1.0])
+        shares.append(node.warmth())
+    assert shares == pytest.approx([0.2, 0.6, 1.0, 1.0])
 
 
-def test_a_cold_node_falls_over_past_its_budget_and_a_warm_one_never() -> None:
-    # 0.2 of 2 cores is 400 ms of work a second; three times that for a second is 1,200, and the slack.
+def test_a_cold_node_collapses_above_its_budget_and_a_warm_node_does_not() -> None:
+    # 0.2 of 2 cores is 400 ms of work per second; the limit is three times that for one second, 1,200 ms,
+    # plus OVERLOAD_SLACK_MS.
     cold, warm = machine(cold=True, slots=999), machine(slots=999)
     for number in range(12):
         for node in (cold, warm):
             node.offer(Job(number, 100.0), "b1" if number % 3 else "b2")
-    assert not cold.fallen
+    assert not cold.collapsed
     cold.offer(Job(20, 100.0), "b1")
     warm.offer(Job(20, 9_999.0), "b1")
-    assert cold.fallen and not warm.fallen
-    assert cold.pressure_by() == {"b1": 900.0, "b2": 400.0}
-    assert not cold.offer(Job(21, 1.0), "b1")  # and it stays down
-    assert cold.next_at() is None
+    assert cold.collapsed and not warm.collapsed
+    assert cold.pressure_by_sender() == {"b1": 900.0, "b2": 400.0}
+    assert not cold.offer(Job(21, 1.0), "b1")  # a collapsed node stays down
+    assert cold.next_event_at() is None
 
 
-def test_pressure_on_a_cold_node_eases_with_time() -> None:
+def test_pressure_on_a_cold_node_drains_over_time() -> None:
     node = machine(cold=True, slots=999)
     for second in range(5):
         node.advance(float(second))
         for number in range(10):
             node.offer(Job(second * 10 + number, 100.0), "b")
-    assert not node.fallen
+    assert not node.collapsed
 
 
-def test_a_crowded_node_chokes_until_it_has_rested() -> None:
+def test_an_overcrowded_node_slows_down_until_its_load_has_been_low() -> None:
     node = machine(slots=50, crowd=2.0, crowd_factor=3.0)
     for number in range(40):
         node.offer(Job(number, 400.0), "b")
-    run(node, 5.0)
-    assert node.choked
-    ended = [number for _, number in run(node, 60.0)]
-    for _ in ended:
-        node.leave()
-    assert len(ended) == 40 and not node.choked  # idle since
+    advance_until(node, 5.0)
+    assert node.overcrowded
+    finished = [number for _, number in advance_until(node, 60.0)]
+    for _ in finished:
+        node.release_slot()
+    assert len(finished) == 40 and not node.overcrowded  # the node was idle after the last job
 
 
 @settings(max_examples=80, deadline=None)
@@ -132,16 +133,16 @@
     st.integers(1, 4),
     st.floats(0.5, 4),
 )
-def test_all_work_that_is_taken_gets_done_no_faster_than_the_cores_can(
+def test_all_accepted_work_finishes_and_no_faster_than_the_cores_allow(
     arrivals: list[tuple[float, float]], cores: int, speed: float
 ) -> None:
     node = machine(cores=cores, speed=speed, slots=1000)
-    now, total, ended = 0.0, 0.0, []
+    now, total, finished = 0.0, 0.0, []
     for number, (gap, work) in enumerate(arrivals):
         now += gap
-        ended += run(node, now)
+        finished += advance_until(node, now)
         assert node.offer(Job(number, work), "b")
         total += work
-    ended += run(node, now + total / speed / 1000 + 1)
-    assert sorted(number for _, number in ended) == list(range(len(arrivals)))
-    assert max(at for at, _ in ended) >= total / (cores * speed) / 1000 - 1e-3
+    finished += advance_until(node, now + total / speed / 1000 + 1)
+    assert sorted(number for _, number in finished) == list(range(len(arrivals)))
+    assert max(at for at, _ in finished) >= total / (cores * speed) / 1000 - 1e-3
