--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -10,7 +10,7 @@
 from passpost.host import Address
 from passpost.rehearsal.http import GRACE_S, Pool, Result
 from passpost.rehearsal.model import Class, Script, Tenant
-from passpost.rehearsal.nodes import tell
+from passpost.rehearsal.nodes import report_result
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Stage
 from passpost.rehearsal.watch import Watch
@@ -210,7 +210,7 @@
             if result.how == "left":
                 self._watch.left(self._stage.now(), txn)
             else:
-                tell(self._stage, self._watch, txn, result, self._excuse(balancer, begun))
+                report_result(self._stage, self._watch, txn, result, self._excuse(balancer, begun))
             self._ended(job, process, result, unreached)
 
         wait = max(due - begun, 0.0) + GRACE_S
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -1,4 +1,4 @@
-"""A render node on the network: reads requests, works on them (machine.py), calls the next tier, answers."""
+"""Simulated node on the network: reads requests, does their work (machine.py), calls the next tier and responds."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from passpost.rehearsal.stage import Stage, listen
 from passpost.rehearsal.watch import Watch
 
-REPEAT_PART = 0.1  # of its work that a dropped repeat costs
-SPOILT = (
+REPEAT_WORK_SHARE = 0.1  # share of its work that a deduplicated repeat costs
+MALFORMED_RESPONSES = (
     b"HTTP/1.1 2x0 what\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\nno length",
     b"\x00\xff\x17 noise \r\n\r\n",
@@ -25,33 +25,33 @@
 )
 
 
-class Effects:
-    """What all nodes of a tier remember together: keys, each with when it first ran."""
+class IdempotencyKeys:
+    """Idempotency keys that the nodes of a tier share, each with the time of its first run."""
 
     def __init__(self) -> None:
-        self._keys: dict[tuple[str, str], float] = {}
+        self._first_run_at: dict[tuple[str, str], float] = {}
 
     def is_repeat(self, tier: str, key: str, now: float, window: float) -> bool:
-        """Note that a keyed request runs; whether its key has run within the window."""
-        first = self._keys.get((tier, key))
-        if first is not None and now < first + window:
+        """Record that a keyed request runs; return whether its key already ran within `window` seconds."""
+        first_run_at = self._first_run_at.get((tier, key))
+        if first_run_at is not None and now < first_run_at + window:
             return True
-        self._keys[(tier, key)] = now
-        if len(self._keys) > 50_000:
-            self._keys = {k: at for k, at in self._keys.items() if at > now - 60}
+        self._first_run_at[(tier, key)] = now
+        if len(self._first_run_at) > 50_000:
+            self._first_run_at = {entry: at for entry, at in self._first_run_at.items() if at > now - 60}
         return False
 
 
-class _Work:
-    """One request inside the node."""
+class _PendingRequest:
+    """A request inside the node, from its last byte to its response."""
 
     def __init__(self, connection: _Connection, asked: Asked, cls: Class, number: int) -> None:
         self.connection: _Connection | None = connection
         self.asked, self.cls, self.number = asked, cls, number
         self.txn = asked.txn
         self.attempt = 0
-        self.due = math.inf
-        self.calls_left, self.work_after = 0, 0.0
+        self.deadline_at = math.inf
+        self.calls_remaining, self.work_after_calls_ms = 0, 0.0
         self.failed = False
 
 
@@ -59,159 +59,165 @@
     def __init__(self, node: Node, balancer: str) -> None:
         super().__init__(node.stage)
         self.node, self.balancer = node, balancer
-        self.work: _Work | None = None
-        self.full = len(node.connections) >= node.kind.connections
-        self._idle: asyncio.TimerHandle | None = None
+        self.pending: _PendingRequest | None = None
+        self.over_limit = len(node.connections) >= node.kind.connections
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.node.connections[self] = None
         self.node.machine.add_connection()
-        self._rest()
+        self._start_idle_timer()
 
     def data_received(self, data: bytes) -> None:
-        self.node.when_awake(lambda: self._data(data))
+        self.node.run_unless_paused(lambda: self._process_data(data))
 
-    def _data(self, data: bytes) -> None:
+    def _process_data(self, data: bytes) -> None:
         if self.transport is not None:
             super().data_received(data)
 
     def request_came(self, request: Request) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
-        self.node.take(self, request)
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
+        self.node.handle_request(self, request)
 
     def answer(self, status: int, body: bytes = b"", more: str = "") -> None:
-        """Answer, and wait for the next request or the end."""
-        self.work = None
+        """Send a response and wait for the next request or the end of the connection."""
+        self.pending = None
         sized = self.node.is_sized()
-        self.node.when_awake(lambda: self.reply(status, body, more, self.full, sized))
-        self._rest()
+        self.node.run_unless_paused(lambda: self.reply(status, body, more, self.over_limit, sized))
+        self._start_idle_timer()
 
-    def _rest(self) -> None:
+    def _start_idle_timer(self) -> None:
         loop = asyncio.get_running_loop()
-        self._idle = loop.call_later(self.node.kind.idle_s, self._idled)
+        self._idle_timer = loop.call_later(self.node.kind.idle_s, self._close_if_idle)
 
-    def _idled(self) -> None:
-        if self.transport is not None and self.work is None:
+    def _close_if_idle(self) -> None:
+        if self.transport is not None and self.pending is None:
             self.transport.close()
 
     def gone(self) -> None:
-        if self._idle is not None:
-            self._idle.cancel()
+        if self._idle_timer is not None:
+            self._idle_timer.cancel()
         self.node.connections.pop(self, None)
-        if self.work is not None:
-            self.work.connection = None  # a cancel stops no work
+        if self.pending is not None:
+            self.pending.connection = None  # cancellation does not stop the work
 
 
 class Node:
-    """One render node, from a start to its end."""
+    """One simulated node process, from its start to its end."""
 
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
+        checker: Watch,
         name: str,
         tier: Tier,
         kind: Kind,
         contract: Contract,
         classes: dict[str, Class],
-        effects: Effects,
+        idempotency_keys: IdempotencyKeys,
         seed: int,
         cold: bool,
         speech: Speech,
     ) -> None:
         self._speech = speech
-        self.stage, self.watch, self.name, self.tier, self.kind = stage, watch, name, tier, kind
-        self._contract, self._classes, self._effects, self._seed = contract, classes, effects, seed
-        self.started = stage.now() if cold else -math.inf
+        self.stage, self.checker, self.name, self.tier, self.kind = stage, checker, name, tier, kind
+        self._contract, self._classes, self._idempotency_keys, self._seed = (
+            contract,
+            classes,
+            idempotency_keys,
+            seed,
+        )
+        self.started_at = stage.now() if cold else -math.inf
         self.machine = Machine(kind, contract, stage.now(), cold)
         self.connections: dict[_Connection, None] = {}
-        self._chance = random.Random(f"node {seed} {name} {self.started}")
-        self._lengths = random.Random(f"lengths {seed} {name} {self.started}")
-        self._works: dict[int, _Work] = {}
-        self._count = 0
+        self._random = random.Random(f"node {seed} {name} {self.started_at}")
+        self._length_random = random.Random(f"lengths {seed} {name} {self.started_at}")
+        self._pending_by_number: dict[int, _PendingRequest] = {}
+        self._request_count = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._listening: list[Callable[[], None]] = []
-        self.hangs, self.silent, self.halts = 0, 0, 0  # how many faults say so
-        self.resets: list[float] = []
-        self.spoils: list[float] = []
-        self.next_tier: tuple[str, Address] | None = None  # its own balancer, where there is one
+        self._listener_closers: list[Callable[[], None]] = []
+        self.hang_count, self.silent_count, self.stop_count = 0, 0, 0  # number of active faults of each kind
+        self.reset_shares: list[float] = []
+        self.malformed_shares: list[float] = []
+        # The node's own balancer for the next tier, with its address; None in the last tier.
+        self.next_tier: tuple[str, Address] | None = None
         self._pool = Pool(stage)
-        self._calls = 0
-        self.frozen, self.lag = 0, 0.0  # live nights: paused or cut off, and delayed
-        self._late: deque[Callable[[], None]] = deque()
-        self.said_fallen = False
+        self._call_count = 0
+        self.pause_count, self.delay_s = 0, 0.0  # live runs only: active pauses and partitions; added delay
+        self._deferred: deque[Callable[[], None]] = deque()
+        self.collapse_reported = False
         self.dead = False
 
-    # ---- listening
+    # ---- listeners
 
     def is_sized(self) -> bool:
-        """Whether the next answer tells its length."""
-        return not self.kind.unsized or self._lengths.random() >= self.kind.unsized
+        """Whether the next response has a Content-Length header."""
+        return not self.kind.unsized or self._length_random.random() >= self.kind.unsized
 
     def listen(self, balancer: str, address: Address) -> Address:
-        """Listen for one balancer, so that it is known who sends; the result is the address."""
-        got, end = listen(self.stage.host, address, lambda: _Connection(self, balancer))
-        self._listening.append(end)
-        return got
+        """Open a listener for one balancer, which identifies the sender; return its address."""
+        bound_address, close_listener = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        self._listener_closers.append(close_listener)
+        return bound_address
 
     def close(self) -> None:
-        """Listen no more and reset everything."""
+        """Close all listeners and reset all connections."""
         self.dead = True
-        for end in self._listening:
-            end()
+        for close_listener in self._listener_closers:
+            close_listener()
         if self._timer is not None:
             self._timer.cancel()
         self._pool.close()
         for connection in list(self.connections):
             connection.abort()
 
-    # ---- pauses and delays where the machine can't be stopped itself
+    # ---- pauses and delays (live runs can't stop a node, which runs inside the simulator's process)
 
-    def when_awake(self, call: Callable[[], None]) -> None:
-        """Run now, or, on a live night, when the node is no longer paused, and after its delay."""
-        if not self.frozen and not self.lag and not self._late:
-            call()
+    def run_unless_paused(self, callback: Callable[[], None]) -> None:
+        """Run `callback` now; in a live run, once the node is no longer paused and after its added delay."""
+        if not self.pause_count and not self.delay_s and not self._deferred:
+            callback()
         else:
-            self._late.append(call)
-            if not self.frozen:
-                asyncio.get_running_loop().call_later(self.lag, self._catch_up)
-
-    def _catch_up(self) -> None:
-        if self._late and not self.frozen:
-            self._late.popleft()()
-
-    def freeze(self, on: bool) -> None:
-        """Stand still, or go on."""
-        self.frozen += 1 if on else -1
-        self.halt(on)
-        while not self.frozen and self._late:
-            self._late.popleft()()
+            self._deferred.append(callback)
+            if not self.pause_count:
+                asyncio.get_running_loop().call_later(self.delay_s, self._run_next_deferred)
+
+    def _run_next_deferred(self) -> None:
+        if self._deferred and not self.pause_count:
+            self._deferred.popleft()()
+
+    def set_paused(self, on: bool) -> None:
+        """Begin or end a pause: no work advances, and received data and responses are deferred."""
+        self.pause_count += 1 if on else -1
+        self.set_stopped(on)
+        while not self.pause_count and self._deferred:
+            self._deferred.popleft()()
         self._advance()
 
-    def halt(self, on: bool) -> None:
-        """Do no work, or go on with it."""
+    def set_stopped(self, on: bool) -> None:
+        """Stop or resume all work; requests are still accepted."""
         self._advance()
-        self.halts += 1 if on else -1
-        self.machine.stopped = self.halts > 0
+        self.stop_count += 1 if on else -1
+        self.machine.stopped = self.stop_count > 0
         self._advance()
 
-    def hang(self, on: bool) -> None:
-        """Take requests and do nothing with them, or go on."""
-        self.hangs += 1 if on else -1
-        self.halt(on)
+    def set_hanging(self, on: bool) -> None:
+        """Begin or end a hang: requests get no response, not even a rejection while the wait queue is full."""
+        self.hang_count += 1 if on else -1
+        self.set_stopped(on)
 
-    def slow(self, factor: float) -> None:
-        """Work so many times slower."""
+    def slow_down(self, factor: float) -> None:
+        """Make the node `factor` times slower; a factor below 1 undoes an earlier slowdown."""
         self._advance()
         self.machine.slowdown *= factor
         self._advance()
 
-    # ---- a request's way
+    # ---- handling of a request
 
-    def take(self, connection: _Connection, request: Request) -> None:
-        """A request is whole."""
+    def handle_request(self, connection: _Connection, request: Request) -> None:
+        """Handle a completely read request."""
         now = self.stage.now()
         asked = self._speech.read(request)
         cls = self._classes.get(asked.cls) if asked is not None else None
@@ -223,53 +229,53 @@
             return
         txn = asked.txn
         self._advance()
-        self._count += 1
-        work = _Work(connection, asked, cls, self._count)
-        connection.work = work
-        work.attempt = self.watch.attempt(
+        self._request_count += 1
+        pending = _PendingRequest(connection, asked, cls, self._request_count)
+        connection.pending = pending
+        pending.attempt = self.checker.attempt(
             request.begun, request.written, now, txn, self.name, connection.balancer
         )
-        work.due = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
-        if connection.full:
-            self._turn_away(work)
+        pending.deadline_at = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
+        if connection.over_limit:
+            self._reject(pending)
             return
-        amount = self._draw(cls, txn) * self.tier.part
-        if cls.effect == "keyed" and self._effects.is_repeat(
+        work_ms = self._draw_work_ms(cls, txn) * self.tier.part
+        if cls.effect == "keyed" and self._idempotency_keys.is_repeat(
             self.tier.name, asked.key, now, cls.window_ms / 1000
         ):
-            amount *= REPEAT_PART
+            work_ms *= REPEAT_WORK_SHARE
         low, high = self.tier.calls if self.next_tier is not None else (0, 0)
-        work.calls_left = self._chance.randint(low, high)
-        before = amount / 2 if work.calls_left else amount
-        work.work_after = amount - before
-        if not self.machine.offer(Job(work.number, before), connection.balancer):
-            if not self.hangs:
-                self._turn_away(work)
+        pending.calls_remaining = self._random.randint(low, high)
+        work_before_calls_ms = work_ms / 2 if pending.calls_remaining else work_ms
+        pending.work_after_calls_ms = work_ms - work_before_calls_ms
+        if not self.machine.offer(Job(pending.number, work_before_calls_ms), connection.balancer):
+            if not self.hang_count:
+                self._reject(pending)
         else:
-            self._works[work.number] = work
-        if self.machine.collapsed and not self.said_fallen:
-            self.said_fallen = True
-            self.watch.fell(now, self.name, self.started, self.machine.pressure_by_sender())
+            self._pending_by_number[pending.number] = pending
+        if self.machine.collapsed and not self.collapse_reported:
+            self.collapse_reported = True
+            self.checker.fell(now, self.name, self.started_at, self.machine.pressure_by_sender())
         self._advance()
 
-    def _draw(self, cls: Class, txn: str) -> float:
-        """The work of a request, in milliseconds: the same at every node and in every order of events."""
+    def _draw_work_ms(self, cls: Class, txn: str) -> float:
+        """Work of a request in milliseconds; it is the same at every node and for every order of events."""
         if not cls.spread:
             return cls.work_ms
         shape = 1 / cls.spread**2
         return random.Random(f"work {self._seed} {txn}").gammavariate(shape, cls.work_ms / shape)
 
-    def _turn_away(self, work: _Work) -> None:
-        self.watch.turned_away(self.stage.now(), work.txn, self.name, work.attempt)
-        if work.connection is not None:
-            work.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
+    def _reject(self, pending: _PendingRequest) -> None:
+        self.checker.turned_away(self.stage.now(), pending.txn, self.name, pending.attempt)
+        if pending.connection is not None:
+            pending.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
 
     def _advance(self) -> None:
-        """Bring the machine to now, and see to what has ended."""
+        """Advance the machine model to now and continue with the requests whose work is done."""
         if self.dead:
             return
         for number in self.machine.advance(self.stage.now()):
-            self._worked(self._works[number])
+            self._finish_phase(self._pending_by_number[number])
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -277,106 +283,111 @@
             delay = max(at - self.stage.now(), 0.0)
             self._timer = asyncio.get_running_loop().call_later(delay, self._advance)
 
-    def _worked(self, work: _Work) -> None:
-        """A phase of its work is done."""
-        if work.calls_left:
-            self._call_on(work)
-        elif work.work_after:
-            rest, work.work_after = work.work_after, 0.0
-            self.machine.resume(Job(work.number, rest))
+    def _finish_phase(self, pending: _PendingRequest) -> None:
+        """Continue after a phase of work: call the next tier, do the remaining work, or respond."""
+        if pending.calls_remaining:
+            self._call_next_tier(pending)
+        elif pending.work_after_calls_ms:
+            remaining_work_ms, pending.work_after_calls_ms = pending.work_after_calls_ms, 0.0
+            self.machine.resume(Job(pending.number, remaining_work_ms))
         else:
-            self._finish(work)
+            self._finish(pending)
 
-    def _call_on(self, work: _Work) -> None:
-        """Make the next call to the next tier; it carries what is left of the time."""
+    def _call_next_tier(self, pending: _PendingRequest) -> None:
+        """Send the next call to the next tier with the remaining time."""
         assert self.next_tier is not None
-        work.calls_left -= 1
+        pending.calls_remaining -= 1
         now = self.stage.now()
-        remaining = work.due - now
+        remaining = pending.deadline_at - now
         if remaining <= 0:
-            self._fail(work)
+            self._fail(pending)
             return
-        self._calls += 1
-        txn = f"{work.txn}.{self.name}.{self._calls}"
+        self._call_count += 1
+        txn = f"{pending.txn}.{self.name}.{self._call_count}"
         balancer, address = self.next_tier
-        key, tenant = work.asked.key, work.asked.tenant
+        key, tenant = pending.asked.key, pending.asked.tenant
 
         def data() -> bytes:
-            left = max(work.due - self.stage.now(), 0.0)
-            self.watch.asked(self.stage.now(), txn, work.cls, balancer, work.due, work.txn)
+            remaining_s = max(pending.deadline_at - self.stage.now(), 0.0)
+            self.checker.asked(self.stage.now(), txn, pending.cls, balancer, pending.deadline_at, pending.txn)
             return write_request(
-                work.cls.name, work.cls.effect, txn, left, tenant, f"{key}.{work.calls_left}"
+                pending.cls.name,
+                pending.cls.effect,
+                txn,
+                remaining_s,
+                tenant,
+                f"{key}.{pending.calls_remaining}",
             )
 
         def done(result: Result) -> None:
-            tell(self.stage, self.watch, txn, result, self.excuse(balancer, now))
+            report_result(self.stage, self.checker, txn, result, self.excuse_for(balancer, now))
             if self.dead:
                 return
             self._advance()
             if result.how == "answer" and result.answer is not None and result.answer.status == 200:
-                self._worked(work)
+                self._finish_phase(pending)
             else:
-                self._fail(work)
+                self._fail(pending)
             self._advance()
 
         self._pool.call(balancer, address, data, remaining + 0.15, done)
 
-    def excuse(self, balancer: str, since: float) -> str:
-        """Why a call may end without an answer; set by the world."""
+    def excuse_for(self, balancer: str, since: float) -> str:
+        """Return the fault that excuses a call without a response, or ""; replaced by World."""
         return ""
 
-    def _fail(self, work: _Work) -> None:
-        self._end(work)
-        if work.connection is not None and not self.silent:
-            work.connection.answer(500)
+    def _fail(self, pending: _PendingRequest) -> None:
+        self._release_slot(pending)
+        if pending.connection is not None and not self.silent_count:
+            pending.connection.answer(500)
 
-    def _finish(self, work: _Work) -> None:
-        self._end(work)
-        connection = work.connection
-        if connection is None or self.silent:
+    def _finish(self, pending: _PendingRequest) -> None:
+        self._release_slot(pending)
+        connection = pending.connection
+        if connection is None or self.silent_count:
             return
-        if self.resets and self._chance.random() < max(self.resets):
+        if self.reset_shares and self._random.random() < max(self.reset_shares):
             connection.abort()
-        elif self.spoils and self._chance.random() < max(self.spoils):
-            connection.write(self._chance.choice(SPOILT))
+        elif self.malformed_shares and self._random.random() < max(self.malformed_shares):
+            connection.write(self._random.choice(MALFORMED_RESPONSES))
         else:
-            body = f"{work.txn} by {self.name}".encode()
-            self.watch.answered(self.stage.now(), work.txn, self.name, body)
+            body = f"{pending.txn} by {self.name}".encode()
+            self.checker.answered(self.stage.now(), pending.txn, self.name, body)
             connection.answer(200, body)
 
-    def _end(self, work: _Work) -> None:
-        """It gives up its slot; who waits gets it, unless its time is over."""
-        self._works.pop(work.number, None)
-        following = self.machine.release_slot()
-        while following is not None:
-            other = self._works[following.number]
-            if other.due > self.stage.now():
-                self.machine.resume(following)
+    def _release_slot(self, pending: _PendingRequest) -> None:
+        """Release the slot of a request; the next queued request whose deadline has not passed takes it."""
+        self._pending_by_number.pop(pending.number, None)
+        next_job = self.machine.release_slot()
+        while next_job is not None:
+            next_pending = self._pending_by_number[next_job.number]
+            if next_pending.deadline_at > self.stage.now():
+                self.machine.resume(next_job)
                 return
-            self._works.pop(following.number, None)
-            self._turn_away(other)
-            following = self.machine.release_slot()
+            self._pending_by_number.pop(next_job.number, None)
+            self._reject(next_pending)
+            next_job = self.machine.release_slot()
 
 
-def tell(stage: Stage, watch: Watch, txn: str, result: Result, excuse: str) -> None:
-    """What the watch hears of how a call ended."""
+def report_result(stage: Stage, checker: Watch, txn: str, result: Result, excuse: str) -> None:
+    """Report the result of a call to the checker."""
     now = stage.now()
     if result.how == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
-            watch.served(now, txn, result.answer.body)
+            checker.served(now, txn, result.answer.body)
         elif status in (429, 503):
-            watch.refused(now, txn)
+            checker.refused(now, txn)
         else:
-            watch.failed(now, txn, status)
+            checker.failed(now, txn, status)
     elif result.how == "crossed":
-        watch.excused(now, txn, "crossed the close of its connection")
+        checker.excused(now, txn, "crossed the close of its connection")
     elif result.how == "unreached":
-        return  # never asked
+        return  # the request was never sent
     elif excuse:
-        watch.excused(now, txn, f"{result.how}: {excuse}")
+        checker.excused(now, txn, f"{result.how}: {excuse}")
     else:
-        watch.lost(
+        checker.lost(
             now,
             txn,
             {"silent": "no answer in time", "ended": "closed with no whole answer"}.get(
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -17,7 +17,7 @@
 from passpost.rehearsal import carried, model, platform_file
 from passpost.rehearsal.clients import ClientRequest, Clients
 from passpost.rehearsal.model import Kind, Script, Tier
-from passpost.rehearsal.nodes import Effects, Node
+from passpost.rehearsal.nodes import IdempotencyKeys, Node
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Config, Running, Stage
@@ -98,7 +98,7 @@
         self.run = Run(script, seed)
         self._random = random.Random(f"world {seed}")
         self._classes = {c.name: c for c in script.classes}
-        self._effects = Effects()
+        self._idempotency_keys = IdempotencyKeys()
         self._tiers = {t.name: i for i, t in enumerate(script.tiers)}
         self._places: dict[str, _Place] = {}  # by the name of who stands there now
         self._all_places: list[_Place] = []
@@ -223,13 +223,13 @@
                 place.kind,
                 self.script.contract,
                 self._classes,
-                self._effects,
+                self._idempotency_keys,
                 self.seed,
                 cold,
                 self._speech if place.tier is self.script.tiers[0] else Speech(),
             ),
         )
-        node.excuse = self._excuse  # type: ignore[method-assign]
+        node.excuse_for = self._excuse  # type: ignore[method-assign]
         for balancer, address in list(place.addresses.items()):
             self.stage.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
         tier = self._tiers[place.tier.name]
@@ -315,7 +315,7 @@
                 for place in self._all_places:
                     if event.tier in ("", place.tier.name) and place.node is not None:
                         self._for_a_while(
-                            place.node, event.for_s, lambda n, on: n.slow(_either(event.factor, on))
+                            place.node, event.for_s, lambda n, on: n.slow_down(_either(event.factor, on))
                         )
             case model.Rush():
                 self._say(f"clients send {event.factor:g} times as much for {event.for_s:g} s")
@@ -439,23 +439,23 @@
         match event:
             case model.Slow() if node is not None:
                 self._say(f"{name} {event.factor:g} times slower {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: n.slow(_either(event.factor, on)))
+                self._for_a_while(node, event.for_s, lambda n, on: n.slow_down(_either(event.factor, on)))
             case model.Silent() if node is not None:
                 self._say(f"{name} silent {lasting}")
 
                 def silence(n: Node, on: bool) -> None:
-                    n.silent += 1 if on else -1
+                    n.silent_count += 1 if on else -1
 
                 self._for_a_while(node, event.for_s, silence)
             case model.Hang() if node is not None:
                 self._say(f"{name} hangs {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: n.hang(on))
+                self._for_a_while(node, event.for_s, lambda n, on: n.set_hanging(on))
             case model.Reset() if node is not None:
                 self._say(f"{name} resets {event.share:.0%} {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: _note(n.resets, event.share, on))
+                self._for_a_while(node, event.for_s, lambda n, on: _note(n.reset_shares, event.share, on))
             case model.Spoil() if node is not None:
                 self._say(f"{name} spoils {event.share:.0%} of its answers {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: _note(n.spoils, event.share, on))
+                self._for_a_while(node, event.for_s, lambda n, on: _note(n.malformed_shares, event.share, on))
             case model.Pause():
                 self._say(f"{name} stands still {lasting}")
                 self._pause(name, node, event.for_s)
@@ -471,10 +471,10 @@
         if name in self._balancers:
             self._excused(name, "paused", seconds)
         if node is not None and not self.stage.exact:
-            self._for_a_while(node, seconds, lambda n, on: n.freeze(on))
+            self._for_a_while(node, seconds, lambda n, on: n.set_paused(on))
             return
         if node is not None:
-            self._for_a_while(node, seconds, lambda n, on: n.halt(on))
+            self._for_a_while(node, seconds, lambda n, on: n.set_stopped(on))
             own = f"b-{name}"
             if own in self._balancers:
                 self._pause(own, None, seconds)
@@ -492,10 +492,10 @@
             self._excused(balancer, "its network is slow", event.for_s)
         if node is not None and not self.stage.exact:
 
-            def lag(n: Node, on: bool) -> None:
-                n.lag += event.ms / 1000 * (1 if on else -1)
+            def add_delay(n: Node, on: bool) -> None:
+                n.delay_s += event.ms / 1000 * (1 if on else -1)
 
-            self._for_a_while(node, event.for_s, lag)
+            self._for_a_while(node, event.for_s, add_delay)
             return
         self.stage.delay(name, event.ms / 1000)
         self._after(event.for_s, lambda: self.stage.delay(name, -event.ms / 1000))
@@ -511,7 +511,7 @@
             nodes = next(side for side in sides if all(n in self._places for n in side))
             for name in nodes:
                 if (node := self._places[name].node) is not None:
-                    self._for_a_while(node, event.for_s, lambda n, on: n.freeze(on))
+                    self._for_a_while(node, event.for_s, lambda n, on: n.set_paused(on))
             return
         pairs = [(a, b) for a in sides[0] for b in sides[1] if a != b]
         for a, b in pairs:
