--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -1,4 +1,4 @@
-"""Clients: they send requests through the front, wait, retry, and give up."""
+"""Simulated clients: they send requests to the balancers, wait, retry and give up."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from passpost.rehearsal.stage import Stage
 from passpost.rehearsal.watch import Watch
 
-POLL_S = 0.2  # the front asks a balancer that starts whether it is ready this often
-LEAVES_S = 0.3  # after SIGTERM the front deals out no more connections from so long on
-UNREACHED_AGAIN_S = 0.05  # a client that could not connect tries elsewhere after this
+READY_POLL_S = 0.2  # interval of readiness probes to a balancer that is starting
+STOP_TO_REMOVAL_S = 0.3  # time from SIGTERM until a balancer gets no new connections
+UNREACHED_RETRY_S = 0.05  # delay before a client that could not connect tries another balancer
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """What a client wants: a first try and the retries that belong to it."""
+    """One logical request of a client, with its first attempt and all retries."""
 
     number: int
     cls: Class
@@ -35,224 +35,246 @@
     reasons: list[str] = field(default_factory=list)
 
 
-class Front:
-    """Deals out connections among the balancers that it takes for alive and ready."""
+class ConnectionDistributor:
+    """Distributes new connections round robin among the balancers it considers alive and ready."""
 
-    def __init__(self, stage: Stage, notice_s: float, ready: str) -> None:
-        self._stage, self._notice, self._ready = stage, notice_s, ready
+    def __init__(self, stage: Stage, death_notice_s: float, ready_path: str) -> None:
+        self._stage, self._death_notice_s, self._ready_path = stage, death_notice_s, ready_path
         self.addresses: dict[str, Address] = {}
-        self._in: dict[str, None] = {}
-        self._turn = 0
+        self._in_rotation: dict[str, None] = {}
+        self._next_index = 0
         self._pool = Pool(stage)
-        self._starts: dict[str, int] = {}
+        self._generations: dict[str, int] = {}
         self.on_ready: Callable[[], None] = lambda: None
 
-    def started(self, balancer: str) -> None:
-        """A balancer has been started: ask it until it is ready."""
-        self._starts[balancer] = self._starts.get(balancer, 0) + 1
-        self._poll(balancer, self._starts[balancer])
+    def balancer_started(self, balancer: str) -> None:
+        """Probe a balancer that has been started until it is ready, then add it to the rotation."""
+        self._generations[balancer] = self._generations.get(balancer, 0) + 1
+        self._poll_ready(balancer, self._generations[balancer])
 
-    def _poll(self, balancer: str, start: int) -> None:
-        if self._starts[balancer] != start:
+    def _poll_ready(self, balancer: str, generation: int) -> None:
+        if self._generations[balancer] != generation:
             return
-        ask = f"GET {self._ready} HTTP/1.1\r\nHost: front\r\n\r\n".encode()
+        ready_request = f"GET {self._ready_path} HTTP/1.1\r\nHost: front\r\n\r\n".encode()
 
-        def done(result: Result) -> None:
-            if self._starts[balancer] != start:
+        def handle(result: Result) -> None:
+            if self._generations[balancer] != generation:
                 return
             if result.answer is not None and result.answer.status == 200:
-                self._in[balancer] = None
+                self._in_rotation[balancer] = None
                 self.on_ready()
             else:
-                asyncio.get_running_loop().call_later(POLL_S, self._poll, balancer, start)
+                asyncio.get_running_loop().call_later(READY_POLL_S, self._poll_ready, balancer, generation)
 
-        self._pool.call(balancer, self.addresses[balancer], lambda: ask, 1.0, done, fresh=True)
+        self._pool.call(balancer, self.addresses[balancer], lambda: ready_request, 1.0, handle, fresh=True)
 
-    def stopping(self, balancer: str) -> None:
-        """It has got SIGTERM."""
-        self._starts[balancer] += 1
-        asyncio.get_running_loop().call_later(LEAVES_S, self._in.pop, balancer, None)
+    def balancer_stopping(self, balancer: str) -> None:
+        """Take a balancer out of rotation STOP_TO_REMOVAL_S after SIGTERM."""
+        self._generations[balancer] += 1
+        asyncio.get_running_loop().call_later(STOP_TO_REMOVAL_S, self._in_rotation.pop, balancer, None)
 
-    def died(self, balancer: str) -> None:
-        """It was killed: noticed some time later."""
-        self._starts[balancer] += 1
-        start = self._starts[balancer]
+    def balancer_died(self, balancer: str) -> None:
+        """Take a killed balancer out of rotation once the death is noticed."""
+        self._generations[balancer] += 1
+        generation = self._generations[balancer]
 
-        def notice() -> None:
-            if self._starts[balancer] == start:
-                self._in.pop(balancer, None)
+        def remove() -> None:
+            if self._generations[balancer] == generation:
+                self._in_rotation.pop(balancer, None)
 
-        asyncio.get_running_loop().call_later(self._notice, notice)
+        asyncio.get_running_loop().call_later(self._death_notice_s, remove)
 
     def is_ready(self, balancer: str) -> bool:
-        """Whether it is dealt connections."""
-        return balancer in self._in
+        """Whether the balancer gets new connections."""
+        return balancer in self._in_rotation
 
-    def deal(self) -> str | None:
-        """The balancer that a new connection goes to."""
-        if not self._in:
+    def pick_balancer(self) -> str | None:
+        """Return the balancer for a new connection, or None if none is in rotation."""
+        if not self._in_rotation:
             return None
-        self._turn += 1
-        return list(self._in)[self._turn % len(self._in)]
+        self._next_index += 1
+        return list(self._in_rotation)[self._next_index % len(self._in_rotation)]
 
 
 class Clients:
-    """All clients of a night."""
+    """All clients of one run, spread over processes with a connection pool each."""
 
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
-        script: Script,
+        checker: Watch,
+        scenario: Script,
         seed: int,
-        excuse: Callable[[str, float], str],
+        excuse_for: Callable[[str, float], str],
         speech: Speech,
     ) -> None:
-        self._stage, self._watch, self._script, self._excuse = stage, watch, script, excuse
+        self._stage, self._checker, self._scenario, self._excuse_for = stage, checker, scenario, excuse_for
         self._speech = speech
-        self.front = Front(stage, script.clients.notice_s, speech.ready)
-        pieces = script.clients.pieces
-        self._pools = [Pool(stage, pieces, f"{seed} {i}") for i in range(script.clients.processes)]
+        self.front = ConnectionDistributor(stage, scenario.clients.notice_s, speech.ready)
+        pieces = scenario.clients.pieces
+        self._pools = [Pool(stage, pieces, f"{seed} {i}") for i in range(scenario.clients.processes)]
         self._random = random.Random(f"clients {seed}")
-        # Arrivals are drawn apart from all else: what goes wrong must not change what is asked.
+        # Arrivals have their own generators, so that failures do not change which requests are sent.
         self._arrivals = [random.Random(f"arrivals {seed} {i}") for i in range(len(self._pools))]
-        self._moods = random.Random(f"moods {seed}")  # so are the impatient, and only where a script has any
-        self._tenants = script.tenants or (Tenant(name="all"),)
-        self.rushes: list[tuple[float, str]] = []
+        # Impatient clients too; nothing is drawn for a scenario that has none.
+        self._impatience_random = random.Random(f"moods {seed}")
+        self._tenants = scenario.tenants or (Tenant(name="all"),)
+        self.rate_surges: list[tuple[float, str]] = []
         self.requests: list[ClientRequest] = []
-        self.open = 0
-        self._ends = 0.0
-        self._txns = 0
-        self.on_end: Callable[[ClientRequest], None] = lambda job: None
-
-    def start(self, seconds: float) -> None:
-        """Send for so long from now on."""
-        self._ends = self._stage.now() + seconds
+        self.open_count = 0
+        self._stop_at = 0.0
+        self._txn_count = 0
+        self.on_complete: Callable[[ClientRequest], None] = lambda request: None
+
+    def start(self, duration_s: float) -> None:
+        """Send requests for `duration_s` seconds from now on."""
+        self._stop_at = self._stage.now() + duration_s
         for number in range(len(self._pools)):
-            self._next(number)
+            self._schedule_arrival(number)
 
-    def is_over(self) -> bool:
-        """Whether all has been sent and has ended."""
-        return self._stage.now() >= self._ends and not self.open
+    def is_finished(self) -> bool:
+        """Whether the sending period is over and every request has ended."""
+        return self._stage.now() >= self._stop_at and not self.open_count
 
-    def _next(self, process: int) -> None:
-        rate = self._script.clients.rate_per_s * self._most() / len(self._pools)
-        gap = self._arrivals[process].expovariate(rate)
-        asyncio.get_running_loop().call_later(gap, self._arrive, process)
+    def _schedule_arrival(self, process: int) -> None:
+        rate_per_s = self._scenario.clients.rate_per_s * self._max_rate_factor() / len(self._pools)
+        gap_s = self._arrivals[process].expovariate(rate_per_s)
+        asyncio.get_running_loop().call_later(gap_s, self._handle_arrival, process)
 
-    def _most(self) -> float:
+    def _max_rate_factor(self) -> float:
         factor = 1.0
-        for more, _ in self.rushes:
-            factor *= max(more, 1.0)
+        for surge_factor, _ in self.rate_surges:
+            factor *= max(surge_factor, 1.0)
         return factor
 
-    def _arrive(self, process: int) -> None:
+    def _handle_arrival(self, process: int) -> None:
         now = self._stage.now()
-        if now >= self._ends:
+        if now >= self._stop_at:
             return
-        self._next(process)
-        classes = self._script.classes
-        chance = self._arrivals[process]
-        cls = chance.choices(classes, [c.share for c in classes])[0]
-        tenant = chance.choices(self._tenants, [t.share for t in self._tenants])[0].name
-        wanted = 1.0
-        for more, of in self.rushes:
-            wanted *= more if of in ("", tenant) else 1.0
-        if chance.random() >= wanted / self._most():  # of those drawn at the highest rate
+        self._schedule_arrival(process)
+        classes = self._scenario.classes
+        arrival_random = self._arrivals[process]
+        cls = arrival_random.choices(classes, [c.share for c in classes])[0]
+        tenant = arrival_random.choices(self._tenants, [t.share for t in self._tenants])[0].name
+        rate_factor = 1.0
+        for surge_factor, surge_tenant in self.rate_surges:
+            rate_factor *= surge_factor if surge_tenant in ("", tenant) else 1.0
+        # Arrivals are drawn at the highest rate; this thins them to the tenant's current rate.
+        if arrival_random.random() >= rate_factor / self._max_rate_factor():
             return
-        job = ClientRequest(len(self.requests), cls, tenant, f"{chance.getrandbits(64):016x}", now)
-        self.requests.append(job)
-        self.open += 1
-        self._try(job, process)
-
-    def _try(self, job: ClientRequest, process: int, unreached: int = 0) -> None:
-        """One try, on a free connection or on a new one."""
-        now, cls = self._stage.now(), job.cls
-        left = job.started_at + cls.deadline_ms / 1000 - now
-        if left <= 0:
-            self._end(job, "failed", "out of time")
+        request = ClientRequest(
+            len(self.requests), cls, tenant, f"{arrival_random.getrandbits(64):016x}", now
+        )
+        self.requests.append(request)
+        self.open_count += 1
+        self._start_attempt(request, process)
+
+    def _start_attempt(self, request: ClientRequest, process: int, unreached_count: int = 0) -> None:
+        """Send the first attempt or a retry on an idle connection or a new one."""
+        now, cls = self._stage.now(), request.cls
+        remaining_s = request.started_at + cls.deadline_ms / 1000 - now
+        if remaining_s <= 0:
+            self._complete(request, "failed", "out of time")
             return
         pool = self._pools[process]
-        balancer = (pool.idle_balancer() if not unreached else None) or self.front.deal()
+        balancer = (pool.idle_balancer() if not unreached_count else None) or self.front.pick_balancer()
         if balancer is None:
-            self._again(job, process, UNREACHED_AGAIN_S, "no balancer", unreached + 1)
+            self._retry_later(request, process, UNREACHED_RETRY_S, "no balancer", unreached_count + 1)
             return
-        if not unreached:
-            job.tries += 1
-        wait = min(left, self._script.clients.try_share * cls.deadline_ms / 1000)
-        self._txns += 1
-        self._send(job, process, balancer, f"t{self._txns}", now + wait, unreached)
+        if not unreached_count:
+            request.tries += 1
+        wait_s = min(remaining_s, self._scenario.clients.try_share * cls.deadline_ms / 1000)
+        self._txn_count += 1
+        self._send(request, process, balancer, f"t{self._txn_count}", now + wait_s, unreached_count)
 
     def _send(
         self,
-        job: ClientRequest,
+        request: ClientRequest,
         process: int,
         balancer: str,
         txn: str,
-        due: float,
-        unreached: int,
-        fresh: bool = False,
+        deadline_at: float,
+        unreached_count: int,
+        new_connection: bool = False,
     ) -> None:
-        pool, begun, cls, clients = self._pools[process], self._stage.now(), job.cls, self._script.clients
-
-        def data() -> bytes:
+        pool, sent_at, cls, clients = (
+            self._pools[process],
+            self._stage.now(),
+            request.cls,
+            self._scenario.clients,
+        )
+
+        def request_bytes() -> bytes:
             now = self._stage.now()
-            self._watch.asked(now, txn, cls, balancer, due)
-            tenant = job.tenant if self._script.tenants else ""
-            topic = f"m{job.number % 997}"
-            return self._speech.write(cls, txn, max(due - now, 0.001), tenant, job.key, topic)
-
-        def done(result: Result) -> None:
-            if result.how == "crossed" and not fresh:  # the same request once more, on a new connection
-                self._watch.note(self._stage.now(), txn, "crossed a close; sent once more")
-                self._send(job, process, balancer, txn, due, unreached, fresh=True)
+            self._checker.asked(now, txn, cls, balancer, deadline_at)
+            tenant = request.tenant if self._scenario.tenants else ""
+            topic = f"m{request.number % 997}"
+            return self._speech.write(cls, txn, max(deadline_at - now, 0.001), tenant, request.key, topic)
+
+        def handle(result: Result) -> None:
+            if result.how == "crossed" and not new_connection:  # sent again on a new connection
+                self._checker.note(self._stage.now(), txn, "crossed a close; sent once more")
+                self._send(request, process, balancer, txn, deadline_at, unreached_count, new_connection=True)
                 return
             if result.how == "left":
-                self._watch.left(self._stage.now(), txn)
+                self._checker.left(self._stage.now(), txn)
             else:
-                report_result(self._stage, self._watch, txn, result, self._excuse(balancer, begun))
-            self._ended(job, process, result, unreached)
-
-        wait = max(due - begun, 0.0) + GRACE_S
-        call = pool.call(balancer, self.front.addresses[balancer], data, wait, done, fresh or unreached > 0)
-        if clients.impatient and self._moods.random() < clients.impatient:
-            after = self._moods.uniform(0.0, max(due - begun, 0.0))
-            asyncio.get_running_loop().call_later(after, call.end, Result("left"))
-
-    def _ended(self, job: ClientRequest, process: int, result: Result, unreached: int) -> None:
-        clients, effect = self._script.clients, job.cls.effect
+                report_result(self._stage, self._checker, txn, result, self._excuse_for(balancer, sent_at))
+            self._handle_result(request, process, result, unreached_count)
+
+        wait_s = max(deadline_at - sent_at, 0.0) + GRACE_S
+        call = pool.call(
+            balancer,
+            self.front.addresses[balancer],
+            request_bytes,
+            wait_s,
+            handle,
+            new_connection or unreached_count > 0,
+        )
+        if clients.impatient and self._impatience_random.random() < clients.impatient:
+            hang_up_after_s = self._impatience_random.uniform(0.0, max(deadline_at - sent_at, 0.0))
+            asyncio.get_running_loop().call_later(hang_up_after_s, call.end, Result("left"))
+
+    def _handle_result(
+        self, request: ClientRequest, process: int, result: Result, unreached_count: int
+    ) -> None:
+        clients, effect = self._scenario.clients, request.cls.effect
         if result.how == "left":
-            self._end(job, "failed", "left")
+            self._complete(request, "failed", "left")
             return
         if result.how == "unreached":
-            self._again(job, process, UNREACHED_AGAIN_S, "unreached", unreached + 1)
+            self._retry_later(request, process, UNREACHED_RETRY_S, "unreached", unreached_count + 1)
             return
         status = result.answer.status if result.answer is not None else 0
         if status == 200:
-            self._end(job, "served", "")
+            self._complete(request, "served", "")
             return
         refused = status in (429, 503)
         reason = "refused" if refused else f"failed {status}" if status else result.how
-        age = self._stage.now() - job.started_at
-        may = refused or effect == "safe" or (effect == "keyed" and age < job.cls.window_ms / 1000)
-        if not may or job.tries > clients.retries:
-            self._end(job, "refused" if refused else "failed", reason)
+        age_s = self._stage.now() - request.started_at
+        may_retry = (
+            refused or effect == "safe" or (effect == "keyed" and age_s < request.cls.window_ms / 1000)
+        )
+        if not may_retry or request.tries > clients.retries:
+            self._complete(request, "refused" if refused else "failed", reason)
             return
-        wait = clients.backoff_ms / 1000
+        wait_s = clients.backoff_ms / 1000
         if refused and self._random.random() < clients.honour:
-            wait = max(wait, result.retry_after_s())
-        self._again(job, process, wait, reason, 0)
+            wait_s = max(wait_s, result.retry_after_s())
+        self._retry_later(request, process, wait_s, reason, 0)
 
-    def _again(self, job: ClientRequest, process: int, wait: float, reason: str, unreached: int) -> None:
-        job.reasons.append(reason)
-        if self._stage.now() + wait - job.started_at >= job.cls.deadline_ms / 1000:
-            self._end(job, "refused" if reason == "refused" else "failed", reason)
+    def _retry_later(
+        self, request: ClientRequest, process: int, wait_s: float, reason: str, unreached_count: int
+    ) -> None:
+        request.reasons.append(reason)
+        if self._stage.now() + wait_s - request.started_at >= request.cls.deadline_ms / 1000:
+            self._complete(request, "refused" if reason == "refused" else "failed", reason)
             return
-        asyncio.get_running_loop().call_later(wait, self._try, job, process, unreached)
+        asyncio.get_running_loop().call_later(wait_s, self._start_attempt, request, process, unreached_count)
 
-    def _end(self, job: ClientRequest, outcome: str, reason: str) -> None:
-        job.outcome, job.ended_at = outcome, self._stage.now()
+    def _complete(self, request: ClientRequest, outcome: str, reason: str) -> None:
+        request.outcome, request.ended_at = outcome, self._stage.now()
         if reason:
-            job.reasons.append(reason)
-        self.open -= 1
-        self.on_end(job)
+            request.reasons.append(reason)
+        self.open_count -= 1
+        self.on_complete(request)
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -144,7 +144,7 @@
             self.clients.front.addresses[name] = self._addresses[name]
         fronts = [f"b{i + 1}" for i in range(script.tiers[0].balancers)]
         for name in fronts:
-            stage.run_as("clients", lambda name=name: self.clients.front.started(name))  # type: ignore[misc]
+            stage.run_as("clients", lambda name=name: self.clients.front.balancer_started(name))  # type: ignore[misc]
         waited = 0.0
         while not all(self.clients.front.is_ready(n) for n in fronts):
             await asyncio.sleep(0.05)
@@ -159,13 +159,13 @@
         self._sample()
         longest = max(c.deadline_ms for c in script.classes) / 1000
         end = begin + script.length_s
-        while stage.now() < end or (not self.clients.is_over() and stage.now() < end + longest + 1.0):
+        while stage.now() < end or (not self.clients.is_finished() and stage.now() < end + longest + 1.0):
             await asyncio.sleep(0.25)
             self._progress(min((stage.now() - begin) / script.length_s, 1.0))
         if self._ready_within is not None:
             await self._until_ready(fronts, self._ready_within)
-        if self.clients.open:
-            self.run.faults.append(f"{self.clients.open} requests never ended")
+        if self.clients.open_count:
+            self.run.faults.append(f"{self.clients.open_count} requests never ended")
         return self._finish()
 
     async def _until_ready(self, fronts: list[str], within: float) -> None:
@@ -320,8 +320,8 @@
             case model.Rush():
                 self._say(f"clients send {event.factor:g} times as much for {event.for_s:g} s")
                 rush = (event.factor, event.tenant)
-                self.clients.rushes.append(rush)
-                self._after(event.for_s, lambda: self.clients.rushes.remove(rush))
+                self.clients.rate_surges.append(rush)
+                self._after(event.for_s, lambda: self.clients.rate_surges.remove(rush))
             case model.Partition():
                 self._partition(event)
             case model.Stop():
@@ -340,7 +340,7 @@
 
     def _front_died(self, balancer: str) -> None:
         if balancer in self.clients.front.addresses:
-            self.clients.front.died(balancer)
+            self.clients.front.balancer_died(balancer)
 
     def _relaunch(self, name: str) -> None:
         running = self._balancers.get(name)
@@ -349,7 +349,7 @@
         self._say(f"{name} starts again")
         self._launch(name)
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.started(name))
+            self.stage.run_as("clients", lambda: self.clients.front.balancer_started(name))
 
     def _stop(self, event: model.Stop) -> None:
         name = event.balancer
@@ -358,7 +358,7 @@
             return
         self._say(f"{name} gets SIGTERM")
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.stopping(name))
+            self.stage.run_as("clients", lambda: self.clients.front.balancer_stopping(name))
         self._stopped[name] = self.stage.now()
         running.terminate()
         bound = min(max(c.deadline_ms for c in self.script.classes) / 1000, LONGEST_S) + KILL_AFTER_S
