--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -1,4 +1,9 @@
-"""The list of nodes as a service: asked and watched, or pushed to an agent beside each balancer."""
+"""Simulated service registry.
+
+In mode "ask" the balancers poll or watch it. In mode "push" an agent next to each balancer holds a pushed copy.
+A watch is a long poll: a call with `wait_ms` that is answered at the next change. To notify a balancer means
+here to report to the checker of the invariants that the balancer can know an entry from now on.
+"""
 
 from __future__ import annotations
 
@@ -17,26 +22,27 @@
 from passpost.rehearsal.stage import Stage, listen
 from passpost.rehearsal.watch import Watch
 
-LINE_TIMEOUT_S = 2.0  # a call that would wait longer for its turn is turned down
-# What an agent learns in the moment before it goes silent, nobody that reads it now and then can know: it counts
-# as told once the agent has had it so long, and could be asked. Five times as long as the balancer's own pause.
-AGENT_S = 0.25
-AGAIN_S = 0.25  # a balancer that is cut off counts as told once it is no longer: looked at this often
-GOES_ON_S = 0.2  # a watch goes on while the next such call comes within this of the last answer
-FAILED_TIMES = 4  # as long may pass after a call that failed
-OLD_CLOSES_S = 1.5  # after a move the old address closes its open connections this late
+MAX_QUEUE_WAIT_S = 2.0  # a call that would wait longer for its turn is rejected with 503
+# A balancer that polls an agent can't know a change that the agent receives just before it stops responding. A
+# pushed change therefore counts as notified only after the agent has had it, and could be polled, for this long:
+# five times the balancer's own polling interval.
+AGENT_SETTLE_S = 0.25
+UNREACHABLE_RECHECK_S = 0.25  # interval of checks whether an unreachable balancer can be notified
+WATCH_CONTINUES_S = 0.2  # a watch continues if the next call comes within this time of the last answer
+FAILED_CALL_FACTOR = 4  # factor on the time allowed without polling after a failed call
+OLD_ADDRESS_CLOSE_S = 1.5  # delay before connections to the old address are closed after a move
 
 
 @dataclass(slots=True)
-class Entry:
-    """One node as it is listed; `started` in seconds of the night, -inf for long ago."""
+class RegistryEntry:
+    """One node in the registry; `started_at` in seconds of simulation time, -inf for a node that is not cold."""
 
     node: str
     tier: str
     phase: str
     cell: int
     up_since_ms: float
-    started: float
+    started_at: float
     revision: int = 0
 
 
@@ -47,253 +53,266 @@
         registry.connections[self] = None
         self.watch_timer: asyncio.TimerHandle | None = None
         self.after = 0
-        self.watched_at = -math.inf  # when a watch was last answered here
+        self.watch_answered_at = -math.inf  # when a watch on this connection was last answered
 
     def request_came(self, request: Request) -> None:
-        self.registry.call(self, request)
+        self.registry.handle_call(self, request)
 
     def gone(self) -> None:
         self.registry.connections.pop(self, None)
         if self in self.registry.watchers:
             del self.registry.watchers[self]
-            self.registry.unwatched(self.balancer)
+            self.registry.mark_not_polling(self.balancer)
         if self.watch_timer is not None:
             self.watch_timer.cancel()
 
 
 class Registry:
-    """The list. `address_of(node, balancer)` says where a balancer finds a node."""
+    """The registry. `address_of(node, balancer)` returns the address at which a balancer reaches a node."""
 
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
+        checker: Watch,
         settings: Discovery,
         ask_within_s: float,
         seed: int,
         address_of: Callable[[str, str], Address],
         tier_of: Callable[[str], str],
     ) -> None:
-        self.stage, self._watch, self._settings, self._ask_within = stage, watch, settings, ask_within_s
+        self.stage, self._checker, self._settings, self._ask_within_s = stage, checker, settings, ask_within_s
         self._address_of, self._tier_of = address_of, tier_of
         self._random = random.Random(f"list {seed}")
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, RegistryEntry] = {}
         self.revision = 1
-        self.down = 0
-        self._up_since = 0.0
-        self._next_turn = 0.0
+        self.outage_count = 0
+        self._availability_changed_at = 0.0
+        self._next_slot_at = 0.0
         self.connections: dict[_Connection, None] = {}
         self.watchers: dict[_Connection, None] = {}
-        self._closers: dict[str, Callable[[], None]] = {}
-        self._running: dict[str, float] = {}  # balancers that run, each with when it started
-        # Of each, from when on it neither watches nor asks, and how often as long that may be.
-        self._unasked: dict[str, tuple[float, int]] = {}
-        self.reachable: Callable[[str, float], bool] = lambda balancer, since: True
+        self._listener_closers: dict[str, Callable[[], None]] = {}
+        self._running_since: dict[str, float] = {}  # start time of each running balancer
+        # For each balancer: since when it has neither watched nor polled, and the factor on the time allowed for that.
+        self._not_polling_since: dict[str, tuple[float, int]] = {}
+        # Whether a balancer was reachable from `since` until now; replaced by World.
+        self.is_reachable: Callable[[str, float], bool] = lambda balancer, since: True
 
-    # ---- what happens to nodes
+    # ---- changes of nodes
 
-    def add(self, entry: Entry) -> None:
-        """A node that stands in the list from the start."""
+    def add(self, entry: RegistryEntry) -> None:
+        """Add a node that is in the registry from the start."""
         entry.revision = self.revision
         self.entries[entry.node] = entry
 
-    def change(self, entry: Entry) -> None:
-        """Something has happened to a node; it is noticed a little later."""
+    def schedule_change(self, entry: RegistryEntry) -> None:
+        """Record a change of a node after the random delay `notice_s` of the scenario."""
         low, high = self._settings.notice_s
         delay = self._random.uniform(low, high)
         loop = asyncio.get_running_loop()
-        self.stage.run_as("discovery", lambda: loop.call_later(delay, self._noticed, entry))
-
-    def _noticed(self, entry: Entry) -> None:
-        known = self.entries.get(entry.node)
-        if known is not None and known.started > entry.started:
-            return  # older news than what is listed
-        if known is not None and known.started == entry.started and known.phase == "left":
-            return  # it was noticed to be gone before it was noticed to leave
+        self.stage.run_as("discovery", lambda: loop.call_later(delay, self._apply_change, entry))
+
+    def _apply_change(self, entry: RegistryEntry) -> None:
+        current = self.entries.get(entry.node)
+        if current is not None and current.started_at > entry.started_at:
+            return  # older than the listed process of this node
+        if current is not None and current.started_at == entry.started_at and current.phase == "left":
+            return  # its end was recorded before its drain
         self.revision += 1
         entry.revision = self.revision
         self.entries[entry.node] = entry
         loop = asyncio.get_running_loop()
         if entry.phase != "active":
-            for balancer, life in self._running.items():
+            for balancer, running_since in self._running_since.items():
                 if self._tier_of(balancer) == entry.tier:
-                    loop.call_later(self._ask_within, self._counts_as_told, entry, balancer, life)
+                    loop.call_later(
+                        self._ask_within_s, self._notify_if_overdue, entry, balancer, running_since
+                    )
         for connection in self.connections:
-            if connection.watched_at >= self.stage.now() - GOES_ON_S and connection not in self.watchers:
-                self._tell(connection.balancer, entry)  # what changes between two calls of a watch
-        if self._settings.mode == "push" and not self.down:
-            loop.call_later(AGENT_S, self._sent, entry, self._up_since)
+            if (
+                connection.watch_answered_at >= self.stage.now() - WATCH_CONTINUES_S
+                and connection not in self.watchers
+            ):
+                self._notify(connection.balancer, entry)  # a change between two calls of one watch
+        if self._settings.mode == "push" and not self.outage_count:
+            loop.call_later(AGENT_SETTLE_S, self._push, entry, self._availability_changed_at)
         for connection in list(self.watchers):
             self._answer_watch(connection)
 
-    def _sent(self, entry: Entry, up_since: float) -> None:
-        """Pushed to every balancer's agent: what the agent has counts as told, asked for or not."""
-        if self.down or up_since != self._up_since:
-            return  # it went silent meanwhile; once it is back all is sent again
-        for balancer in self._running:
+    def _push(self, entry: RegistryEntry, availability_changed_at: float) -> None:
+        """Push an entry to the agents of all balancers of its tier; it counts as notified, polled or not."""
+        if self.outage_count or availability_changed_at != self._availability_changed_at:
+            return  # an outage began or ended meanwhile; at its end all entries are pushed again
+        for balancer in self._running_since:
             if self._tier_of(balancer) == entry.tier:
-                self._tell(balancer, entry)
+                self._notify(balancer, entry)
 
-    def _counts_as_told(self, entry: Entry, balancer: str, life: float) -> None:
-        """Who has neither watched nor asked for so long counts as told, if it could have asked.
+    def _notify_if_overdue(self, entry: RegistryEntry, balancer: str, running_since: float) -> None:
+        """Count a balancer as notified that could have polled and did neither poll nor watch for the allowed time.
 
-        One that has asked since it was noticed has been told, or its call has failed.
+        A balancer that has called since the change was recorded was notified then, or its call failed.
         """
-        if self._running.get(balancer) != life or self.entries.get(entry.node) is not entry:
+        if self._running_since.get(balancer) != running_since or self.entries.get(entry.node) is not entry:
             return
         if any(c.balancer == balancer for c in self.watchers):
             return
-        now, (unasked, times) = self.stage.now(), self._unasked.get(balancer, (life, 1))
-        due = unasked + times * self._ask_within
-        if self.down or self._up_since > now - self._ask_within or not self.reachable(balancer, due):
-            due = max(due, now + AGAIN_S)
-        if due > now + 1e-6:
+        now, (not_polling_since, factor) = (
+            self.stage.now(),
+            self._not_polling_since.get(balancer, (running_since, 1)),
+        )
+        due_at = not_polling_since + factor * self._ask_within_s
+        if (
+            self.outage_count
+            or self._availability_changed_at > now - self._ask_within_s
+            or not self.is_reachable(balancer, due_at)
+        ):
+            due_at = max(due_at, now + UNREACHABLE_RECHECK_S)
+        if due_at > now + 1e-6:
             loop = asyncio.get_running_loop()
-            loop.call_later(due - now, self._counts_as_told, entry, balancer, life)
+            loop.call_later(due_at - now, self._notify_if_overdue, entry, balancer, running_since)
         else:
-            self._watch.told(now, balancer, entry.node, False, entry.started)
+            self._checker.told(now, balancer, entry.node, False, entry.started_at)
 
-    def unwatched(self, balancer: str, failed: bool = False) -> None:
-        """A balancer neither watches nor asks from now on; `failed`: its call has."""
-        self._unasked[balancer] = (self.stage.now(), FAILED_TIMES if failed else 1)
+    def mark_not_polling(self, balancer: str, failed: bool = False) -> None:
+        """Record that a balancer neither watches nor polls from now on; `failed`: because its call failed."""
+        self._not_polling_since[balancer] = (self.stage.now(), FAILED_CALL_FACTOR if failed else 1)
 
-    # ---- who asks
+    # ---- calls of balancers
 
-    def serve(self, balancer: str, address: Address = ("127.0.0.1", 0)) -> Address:
-        """An address of the list for one balancer; a second call moves it."""
-        got, close = listen(self.stage.host, address, lambda: _Connection(self, balancer))
-        if (old := self._closers.pop(balancer, None)) is not None:
-            old()
+    def listen_for(self, balancer: str, address: Address = ("127.0.0.1", 0)) -> Address:
+        """Open an address of the registry for one balancer; a further call moves the registry to a new address."""
+        bound_address, close_listener = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        if (close_old := self._listener_closers.pop(balancer, None)) is not None:
+            close_old()
             for connection in [c for c in self.connections if c.balancer == balancer]:
-                asyncio.get_running_loop().call_later(OLD_CLOSES_S, self._cut, connection)
-        self._closers[balancer] = close
-        return got
+                asyncio.get_running_loop().call_later(OLD_ADDRESS_CLOSE_S, self._reset, connection)
+        self._listener_closers[balancer] = close_listener
+        return bound_address
 
-    def _cut(self, connection: _Connection) -> None:
-        """Ends a connection itself: a call that is out there has failed."""
+    def _reset(self, connection: _Connection) -> None:
+        """Reset a connection; an open call on it has failed."""
         if connection.transport is not None:
             connection.abort()
-            self.unwatched(connection.balancer, failed=True)
+            self.mark_not_polling(connection.balancer, failed=True)
 
     def balancer_started(self, balancer: str) -> dict[str, Any]:
-        """A balancer starts: it knows the list of now, which counts as told."""
-        self._running[balancer] = self.stage.now()
-        self.unwatched(balancer)
+        """Record the start of a balancer and return the current list, of which it counts as notified."""
+        self._running_since[balancer] = self.stage.now()
+        self.mark_not_polling(balancer)
         return self._listing(balancer, None)
 
     def balancer_ended(self, balancer: str) -> None:
-        """It runs no more."""
-        self._running.pop(balancer, None)
+        """Record that a balancer no longer runs."""
+        self._running_since.pop(balancer, None)
 
-    def set_down(self, on: bool) -> None:
-        """Out of reach, or back."""
-        self.down += 1 if on else -1
-        self._up_since = self.stage.now()
+    def set_unreachable(self, on: bool) -> None:
+        """Begin or end an outage of the registry."""
+        self.outage_count += 1 if on else -1
+        self._availability_changed_at = self.stage.now()
         if on and self._settings.mode == "ask":
             for connection in list(self.watchers):
-                self._drop(connection)
-        elif not self.down:
+                self._fail_call(connection)
+        elif not self.outage_count:
             if self._settings.mode == "push":
                 loop = asyncio.get_running_loop()
                 for entry in self.entries.values():
-                    loop.call_later(AGENT_S, self._sent, entry, self._up_since)
+                    loop.call_later(AGENT_SETTLE_S, self._push, entry, self._availability_changed_at)
             for connection in list(self.watchers):
                 self._answer_watch(connection)
 
-    def _drop(self, connection: _Connection) -> None:
+    def _fail_call(self, connection: _Connection) -> None:
         self.watchers.pop(connection, None)
-        self.unwatched(connection.balancer, failed=True)
+        self.mark_not_polling(connection.balancer, failed=True)
         if self._random.random() < 0.5:
             connection.reply(503, close=True)
         else:
             connection.abort()
 
-    def call(self, connection: _Connection, request: Request) -> None:
-        """A call for the list or for changes."""
+    def handle_call(self, connection: _Connection, request: Request) -> None:
+        """Handle a call for the whole list or for changes."""
         if request.path != "/registry/instances":
             connection.reply(404)
             return
         if self._settings.mode == "push":
-            if not self.down:
-                self._answer(connection, request)
-            return  # an agent that is cut off from its service is silent
-        if self.down:
-            self._drop(connection)
+            if not self.outage_count:
+                self._answer_call(connection, request)
+            return  # an agent that has lost its registry does not respond
+        if self.outage_count:
+            self._fail_call(connection)
             return
         now = self.stage.now()
-        self.unwatched(connection.balancer)
-        if "wait_ms" in request.query and connection.watched_at >= now - GOES_ON_S:
-            self._answer(connection, request)
+        self.mark_not_polling(connection.balancer)
+        if "wait_ms" in request.query and connection.watch_answered_at >= now - WATCH_CONTINUES_S:
+            self._answer_call(connection, request)
             return
-        turn = max(self._next_turn, now)
-        if turn - now > LINE_TIMEOUT_S:
-            self.unwatched(connection.balancer, failed=True)
+        slot_at = max(self._next_slot_at, now)
+        if slot_at - now > MAX_QUEUE_WAIT_S:
+            self.mark_not_polling(connection.balancer, failed=True)
             connection.reply(503, close=True)
             return
-        self._next_turn = turn + 1 / self._settings.calls_per_s
-        asyncio.get_running_loop().call_later(turn - now, self._answer, connection, request)
+        self._next_slot_at = slot_at + 1 / self._settings.calls_per_s
+        asyncio.get_running_loop().call_later(slot_at - now, self._answer_call, connection, request)
 
-    def _answer(self, connection: _Connection, request: Request) -> None:
+    def _answer_call(self, connection: _Connection, request: Request) -> None:
         if connection.transport is None:
-            return  # its caller has hung up, or it was cut off; it took its turn all the same
-        if self.down:
+            return  # the caller closed it or it was reset; it used its turn all the same
+        if self.outage_count:
             if self._settings.mode == "ask":
-                self._drop(connection)
+                self._fail_call(connection)
             return
         query = {k: v[0] for k, v in parse_qs(request.query).items()}
         after = int(query["after"]) if "after" in query else None
         if after is None or after > self.revision:
-            self._write(connection, None)
+            self._send_listing(connection, None)
             return
         connection.after = after
-        wait = min(float(query.get("wait_ms", "0")), 60_000) / 1000
+        wait_s = min(float(query.get("wait_ms", "0")), 60_000) / 1000
         if self._settings.mode == "push":
-            wait = 0.0  # an agent answers at once
+            wait_s = 0.0  # an agent does not support waiting
         self.watchers[connection] = None
-        if after < self.revision or wait <= 0:
-            self._answer_watch(connection, at_once=True)
+        if after < self.revision or wait_s <= 0:
+            self._answer_watch(connection, even_without_changes=True)
             return
-        timer = asyncio.get_running_loop().call_later(wait, self._answer_watch, connection, True)
+        timer = asyncio.get_running_loop().call_later(wait_s, self._answer_watch, connection, True)
         connection.watch_timer = timer
 
-    def _answer_watch(self, connection: _Connection, at_once: bool = False) -> None:
-        if self.down or connection not in self.watchers:
+    def _answer_watch(self, connection: _Connection, even_without_changes: bool = False) -> None:
+        if self.outage_count or connection not in self.watchers:
             return
         tier = self._tier_of(connection.balancer)
-        news = any(e.revision > connection.after and e.tier == tier for e in self.entries.values())
-        if news or at_once:
+        has_changes = any(e.revision > connection.after and e.tier == tier for e in self.entries.values())
+        if has_changes or even_without_changes:
             del self.watchers[connection]
-            self.unwatched(connection.balancer)
-            connection.watched_at = self.stage.now()
+            self.mark_not_polling(connection.balancer)
+            connection.watch_answered_at = self.stage.now()
             if connection.watch_timer is not None:
                 connection.watch_timer.cancel()
-            self._write(connection, connection.after)
+            self._send_listing(connection, connection.after)
 
-    def _write(self, connection: _Connection, after: int | None) -> None:
+    def _send_listing(self, connection: _Connection, after: int | None) -> None:
         if connection.transport is not None:
             connection.reply(200, json.dumps(self._listing(connection.balancer, after)).encode())
 
-    def _tell(self, balancer: str, entry: Entry) -> None:
-        """An entry is written to a balancer: it counts as told once that can have reached it."""
-        if balancer not in self._running or self.entries.get(entry.node) is not entry:
+    def _notify(self, balancer: str, entry: RegistryEntry) -> None:
+        """Report an entry that was written to a balancer, once the balancer is reachable."""
+        if balancer not in self._running_since or self.entries.get(entry.node) is not entry:
             return
-        if self._settings.mode == "push" and self.down:
-            return  # whoever could not read it in time hears it when the agent is back
-        if entry.phase != "active" and not self.reachable(balancer, self.stage.now()):
-            asyncio.get_running_loop().call_later(AGAIN_S, self._tell, balancer, entry)
+        if self._settings.mode == "push" and self.outage_count:
+            return  # the balancer is notified when the agent is back
+        if entry.phase != "active" and not self.is_reachable(balancer, self.stage.now()):
+            asyncio.get_running_loop().call_later(UNREACHABLE_RECHECK_S, self._notify, balancer, entry)
             return
-        self._watch.told(self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started)
+        self._checker.told(self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started_at)
 
     def _listing(self, balancer: str, after: int | None) -> dict[str, Any]:
-        """What is told, in discovery's form; the watch hears of it."""
+        """Return the whole list or the changes after a revision as a discovery response, and notify the checker."""
         tier = self._tier_of(balancer)
         members = []
         for entry in self.entries.values():
             if entry.tier != tier or (after is not None and entry.revision <= after):
                 continue
-            self._tell(balancer, entry)
+            self._notify(balancer, entry)
             if entry.phase == "left" and after is None:
-                continue  # a whole list names it no more, and so tells that it is gone
+                continue  # its absence from a whole list tells that it is gone
             host, port = self._address_of(entry.node, balancer)
             members.append(
                 {
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -18,7 +18,7 @@
 from passpost.rehearsal.clients import ClientRequest, Clients
 from passpost.rehearsal.model import Kind, Script, Tier
 from passpost.rehearsal.nodes import IdempotencyKeys, Node
-from passpost.rehearsal.registry import Entry, Registry
+from passpost.rehearsal.registry import Registry, RegistryEntry
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Config, Running, Stage
 from passpost.rehearsal.watch import Break, Watch
@@ -72,7 +72,7 @@
     name: str = ""
     addresses: dict[str, Address] = field(default_factory=dict)
     starts: int = 0
-    entry: Entry | None = None
+    entry: RegistryEntry | None = None
 
 
 class World:
@@ -120,7 +120,7 @@
             self._address_of,
             lambda balancer: script.tiers[self._tier_of_balancer[balancer]].name,
         )
-        self.registry.reachable = lambda balancer, since: not self._excuse(balancer, since)
+        self.registry.is_reachable = lambda balancer, since: not self._excuse(balancer, since)
         self.clients = Clients(stage, self.checker, script, seed, self._excuse, speech)
 
     # ---- building
@@ -134,7 +134,7 @@
                     place = _Place(tier, kind, len(self._all_places))
                     self._all_places.append(place)
                     name = f"{tier.name}-{kind.name}-{i + 1}"
-                    place.entry = Entry(name, tier.name, "active", place.number, 0.0, -math.inf)
+                    place.entry = RegistryEntry(name, tier.name, "active", place.number, 0.0, -math.inf)
                     self.registry.add(replace(place.entry))
                     self._stand(place, name, cold=False)
         for i in range(script.tiers[0].balancers):
@@ -255,7 +255,7 @@
     def _launch(self, name: str) -> None:
         if name not in self._addresses:
             self._addresses[name] = self.stage.free_address()
-        listed = self.stage.run_as("discovery", lambda: self.registry.serve(name))
+        listed = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
         known = self.registry.balancer_started(name)
         self._launched[name] = self.stage.now()
         self._configs[name] = config = self._config(name, self._addresses[name], listed, known)
@@ -308,8 +308,8 @@
         match event:
             case model.ListDown():
                 self._say(f"the list is out of reach for {event.for_s:g} s")
-                self.registry.set_down(True)
-                self._after(event.for_s, lambda: self.registry.set_down(False))
+                self.registry.set_unreachable(True)
+                self._after(event.for_s, lambda: self.registry.set_unreachable(False))
             case model.SharedSlow():
                 self._say(f"every node {event.factor:g} times slower for {event.for_s:g} s")
                 for place in self._all_places:
@@ -401,7 +401,7 @@
         if running is None or not running.alive:
             return
         self._say(f"{name}: discovery moves, SIGHUP")
-        host, port = self.stage.run_as("discovery", lambda: self.registry.serve(name))
+        host, port = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
         config = self._configs[name]
         if isinstance(config, File):
             application = config.applications[0]
@@ -528,7 +528,7 @@
         self._say(f"{name} crashes")
         self._fell_out(place)
         assert place.entry is not None
-        self.registry.change(replace(place.entry, phase="left"))
+        self.registry.schedule_change(replace(place.entry, phase="left"))
         if event.back_as == "never":
             return
         after = name if event.back_as == "same" else f"{name}-r{place.starts}"
@@ -539,14 +539,14 @@
         self._say(f"{name} drains")
         entry = place.entry
         assert entry is not None
-        self.registry.change(replace(entry, phase="leaving"))
+        self.registry.schedule_change(replace(entry, phase="leaving"))
 
         def leave() -> None:
             if place.node is not node:
                 return  # it crashed meanwhile
             self._say(f"{name} has left")
             self._fell_out(place)
-            self.registry.change(replace(entry, phase="left"))
+            self.registry.schedule_change(replace(entry, phase="left"))
             if event.back_s:
                 self._after(event.back_s, lambda: self._start(place, name))
 
@@ -565,10 +565,10 @@
             return
         self._say(f"{name} starts")
         self._stand(place, name, cold=True)
-        place.entry = Entry(
+        place.entry = RegistryEntry(
             name, place.tier.name, "active", place.number, self.stage.unix_ms(), self.stage.now()
         )
-        self.registry.change(replace(place.entry))
+        self.registry.schedule_change(replace(place.entry))
 
     def _sample(self) -> None:
         requests_by_node = {
