--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -1,4 +1,4 @@
-"""One night: the script's fleet, clients, list and failures, played on a stage."""
+"""The simulated world of one run: a scenario's fleet, clients, registry and failures on a Stage."""
 
 from __future__ import annotations
 
@@ -23,15 +23,17 @@
 from passpost.rehearsal.stage import Config, Running, Stage
 from passpost.rehearsal.watch import Break, Watch
 
-WARM_UP_S = 20.0  # balancers that are not ready by then never will be
-SAMPLE_S = 0.5
-KILL_AFTER_S = 0.7  # SIGKILL follows SIGTERM no sooner than the longest deadline and this ...
-LONGEST_S = 3.0  # ... of which so much counts at most
+READY_TIMEOUT_S = (
+    20.0  # a balancer that is not ready by then will not become ready; the run ends with a fault
+)
+SAMPLE_INTERVAL_S = 0.5
+KILL_MARGIN_S = 0.7  # SIGKILL follows SIGTERM no sooner than after the longest deadline plus this margin
+MAX_DEADLINE_COUNTED_S = 3.0  # upper bound of the longest deadline in that sum
 
 
 @dataclass
 class Sample:
-    """The state of the fleet at a moment: jobs inside each node."""
+    """State of the fleet at one moment; `ready` is the number of balancers that get client connections."""
 
     at: float
     requests_by_node: dict[str, int]
@@ -40,30 +42,30 @@
 
 @dataclass
 class Run:
-    """What came of a night."""
+    """The result of one run of a scenario. Times are in seconds of simulation time."""
 
     scenario: Script
     seed: int
     requests: list[ClientRequest] = field(default_factory=list)
     violations: list[Break] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)  # of the program: a crash, an error that nobody caught
+    faults: list[str] = field(default_factory=list)  # faults of the program: crashes and uncaught errors
     samples: list[Sample] = field(default_factory=list)
-    log: list[tuple[float, str]] = field(default_factory=list)  # what the script did
+    log: list[tuple[float, str]] = field(default_factory=list)  # (time, text) of each event that was applied
     attempts: int = 0
-    left_waiting: int = 0  # clients that hung up while nothing was out for their request
-    sent_after: int = 0  # of these, those that were sent for 0.3 s later or after that
+    left_waiting: int = 0  # clients that hung up while no attempt was open for their request
+    sent_after: int = 0  # of these, requests that were sent on 0.3 s later or after that
     started_at: float = 0.0
     ended_at: float = 0.0
     wall_s: float = 0.0
 
     def is_good(self) -> bool:
-        """Whether no rule was broken and nothing crashed."""
+        """Whether there is no violation and no fault."""
         return not self.violations and not self.faults
 
 
 @dataclass
-class _Place:
-    """A node's place in the fleet: who stands there, and its addresses, which outlive it."""
+class _NodeHost:
+    """A host of the fleet: the node process on it, and the addresses by balancer, which outlive that process."""
 
     tier: Tier
     kind: Kind
@@ -71,322 +73,339 @@
     node: Node | None = None
     name: str = ""
     addresses: dict[str, Address] = field(default_factory=dict)
-    starts: int = 0
+    start_count: int = 0
     entry: RegistryEntry | None = None
 
 
 class World:
-    """Builds the night and plays it."""
+    """Builds the fleet of a scenario and runs the scenario."""
 
     def __init__(
         self,
         stage: Stage,
-        script: Script,
+        scenario: Script,
         seed: int,
         progress: Callable[[float], None],
         file: File | None = None,
         ready_within: float | None = None,
     ) -> None:
-        """`ready_within`: seconds after its start in which each front has to be ready; None: not looked at."""
+        """`ready_within`: seconds from its start to readiness allowed for a first-tier balancer; None: no check."""
         speech = Speech()
-        if script.sidecar is not None:
-            file = file or carried.read_operator_file(script.sidecar.file)
-            script, speech = carried.merge_operator_file(script, file), carried.speech(script, file)
-        self._file, self._speech = file, speech
-        self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
-        self.checker = Watch(script.contract)
-        self.run = Run(script, seed)
+        if scenario.sidecar is not None:
+            file = file or carried.read_operator_file(scenario.sidecar.file)
+            scenario, speech = carried.merge_operator_file(scenario, file), carried.speech(scenario, file)
+        self._operator_file, self._speech = file, speech
+        self.stage, self.scenario, self.seed, self._report_progress = stage, scenario, seed, progress
+        self.checker = Watch(scenario.contract)
+        self.run = Run(scenario, seed)
         self._random = random.Random(f"world {seed}")
-        self._classes = {c.name: c for c in script.classes}
+        self._classes = {c.name: c for c in scenario.classes}
         self._idempotency_keys = IdempotencyKeys()
-        self._tiers = {t.name: i for i, t in enumerate(script.tiers)}
-        self._places: dict[str, _Place] = {}  # by the name of who stands there now
-        self._all_places: list[_Place] = []
+        self._tier_index = {t.name: i for i, t in enumerate(scenario.tiers)}
+        self._host_by_node: dict[str, _NodeHost] = {}  # by node name; the name of a replaced node stays
+        self._hosts: list[_NodeHost] = []
         self._balancers: dict[str, Running] = {}
         self._addresses: dict[str, Address] = {}
         self._configs: dict[str, Config] = {}
         self._tier_of_balancer: dict[str, int] = {}
-        self._downs: list[tuple[str, float, float, str]] = []  # excuses: balancer, from, until, why
-        self._over = False
-        self._ready_within = ready_within
-        self._launched: dict[str, float] = {}  # when each balancer was last started ...
-        self._stopped: dict[str, float] = {}  # ... and last told to stop
+        self._excuses: list[tuple[str, float, float, str]] = []  # balancer, from, until, reason
+        self._finished = False
+        self._ready_within_s = ready_within
+        self._launched_at: dict[str, float] = {}  # time of the last start of each balancer
+        self._stop_sent_at: dict[str, float] = {}  # time of the last SIGTERM of each balancer
         self.registry = Registry(
             stage,
             self.checker,
-            script.discovery,
-            script.contract.ask_within_ms / 1000,
+            scenario.discovery,
+            scenario.contract.ask_within_ms / 1000,
             seed,
             self._address_of,
-            lambda balancer: script.tiers[self._tier_of_balancer[balancer]].name,
+            lambda balancer: scenario.tiers[self._tier_of_balancer[balancer]].name,
         )
-        self.registry.is_reachable = lambda balancer, since: not self._excuse(balancer, since)
-        self.clients = Clients(stage, self.checker, script, seed, self._excuse, speech)
+        self.registry.is_reachable = lambda balancer, since: not self._excuse_for(balancer, since)
+        self.clients = Clients(stage, self.checker, scenario, seed, self._excuse_for, speech)
 
-    # ---- building
+    # ---- building and running
 
     async def simulate(self) -> Run:
-        """The whole night."""
-        stage, script = self.stage, self.script
-        for tier in reversed(script.tiers):  # a node's own balancer knows the tier that it calls
+        """Run the whole scenario and return its result."""
+        stage, scenario = self.stage, self.scenario
+        # Last tier first: a node's own balancer starts with the list of the tier that it calls.
+        for tier in reversed(scenario.tiers):
             for kind in tier.kinds:
                 for i in range(kind.count):
-                    place = _Place(tier, kind, len(self._all_places))
-                    self._all_places.append(place)
+                    node_host = _NodeHost(tier, kind, len(self._hosts))
+                    self._hosts.append(node_host)
                     name = f"{tier.name}-{kind.name}-{i + 1}"
-                    place.entry = RegistryEntry(name, tier.name, "active", place.number, 0.0, -math.inf)
-                    self.registry.add(replace(place.entry))
-                    self._stand(place, name, cold=False)
-        for i in range(script.tiers[0].balancers):
+                    node_host.entry = RegistryEntry(
+                        name, tier.name, "active", node_host.number, 0.0, -math.inf
+                    )
+                    self.registry.add(replace(node_host.entry))
+                    self._start_node(node_host, name, cold=False)
+        for i in range(scenario.tiers[0].balancers):
             name = f"b{i + 1}"
             self._tier_of_balancer[name] = 0
-            self._launch(name)
+            self._launch_balancer(name)
             self.clients.front.addresses[name] = self._addresses[name]
-        fronts = [f"b{i + 1}" for i in range(script.tiers[0].balancers)]
-        for name in fronts:
+        first_tier_balancers = [f"b{i + 1}" for i in range(scenario.tiers[0].balancers)]
+        for name in first_tier_balancers:
             stage.run_as("clients", lambda name=name: self.clients.front.balancer_started(name))  # type: ignore[misc]
-        waited = 0.0
-        while not all(self.clients.front.is_ready(n) for n in fronts):
+        waited_s = 0.0
+        while not all(self.clients.front.is_ready(n) for n in first_tier_balancers):
             await asyncio.sleep(0.05)
-            waited += 0.05
-            if waited > WARM_UP_S:
+            waited_s += 0.05
+            if waited_s > READY_TIMEOUT_S:
                 self.run.faults.append("the balancers did not get ready")
                 return self._finish()
-        begin = self.run.started_at = stage.now()
-        stage.run_as("clients", lambda: self.clients.start(script.length_s))
-        for event in script.events:
-            self._at(begin + event.at_s, lambda event=event: self._happen(event))  # type: ignore[misc]
-        self._sample()
-        longest = max(c.deadline_ms for c in script.classes) / 1000
-        end = begin + script.length_s
-        while stage.now() < end or (not self.clients.is_finished() and stage.now() < end + longest + 1.0):
+        started_at = self.run.started_at = stage.now()
+        stage.run_as("clients", lambda: self.clients.start(scenario.length_s))
+        for event in scenario.events:
+            self._call_at(started_at + event.at_s, lambda event=event: self._apply_event(event))  # type: ignore[misc]
+        self._take_sample()
+        longest_deadline_s = max(c.deadline_ms for c in scenario.classes) / 1000
+        end_at = started_at + scenario.length_s
+        while stage.now() < end_at or (
+            not self.clients.is_finished() and stage.now() < end_at + longest_deadline_s + 1.0
+        ):
             await asyncio.sleep(0.25)
-            self._progress(min((stage.now() - begin) / script.length_s, 1.0))
-        if self._ready_within is not None:
-            await self._until_ready(fronts, self._ready_within)
+            self._report_progress(min((stage.now() - started_at) / scenario.length_s, 1.0))
+        if self._ready_within_s is not None:
+            await self._wait_until_ready(first_tier_balancers, self._ready_within_s)
         if self.clients.open_count:
             self.run.faults.append(f"{self.clients.open_count} requests never ended")
         return self._finish()
 
-    async def _until_ready(self, fronts: list[str], within: float) -> None:
-        """Wait for balancers that are stopping or starting still; one that takes too long is a fault."""
-        waiting = fronts
+    async def _wait_until_ready(self, first_tier_balancers: list[str], within_s: float) -> None:
+        """Wait for balancers that are still stopping or starting; one that takes too long to start is a fault."""
+        waiting = first_tier_balancers
         while waiting := [name for name in waiting if not self.clients.front.is_ready(name)]:
             now = self.stage.now()
             for name in waiting:
-                started = self._launched[name]
-                if started > self._stopped.get(name, -math.inf) and now > started + within:
-                    self.run.faults.append(f"{name} was not ready {within:g} s after its start")
+                launched_at = self._launched_at[name]
+                if launched_at > self._stop_sent_at.get(name, -math.inf) and now > launched_at + within_s:
+                    self.run.faults.append(f"{name} was not ready {within_s:g} s after its start")
                     return
             await asyncio.sleep(0.05)
 
     def _finish(self) -> Run:
-        self._over = True
-        night = self.run
+        self._finished = True
+        run = self.run
         for name, running in list(self._balancers.items()):
             if running.alive:
                 running.kill()
             self._balancers.pop(name, None)
-        for place in self._all_places:
-            if place.node is not None:
-                self.stage.run_as(place.name, place.node.close)
+        for node_host in self._hosts:
+            if node_host.node is not None:
+                self.stage.run_as(node_host.name, node_host.node.close)
         self.checker.ended(self.stage.now())
-        night.requests, night.violations = self.clients.requests, self.checker.breaks
-        night.left_waiting, night.sent_after = self.checker.left_waiting, self.checker.sent_after
-        night.attempts, night.ended_at = self.checker.attempts, self.stage.now()
-        return night
+        run.requests, run.violations = self.clients.requests, self.checker.breaks
+        run.left_waiting, run.sent_after = self.checker.left_waiting, self.checker.sent_after
+        run.attempts, run.ended_at = self.checker.attempts, self.stage.now()
+        return run
 
-    def _at(self, when: float, call: Callable[[], None]) -> None:
-        def due() -> None:
-            if not self._over:
-                call()
+    def _call_at(self, due_at: float, callback: Callable[[], None]) -> None:
+        def run_callback() -> None:
+            if not self._finished:
+                callback()
 
-        asyncio.get_running_loop().call_later(max(when - self.stage.now(), 0.0), due)
+        asyncio.get_running_loop().call_later(max(due_at - self.stage.now(), 0.0), run_callback)
 
-    def _after(self, seconds: float, call: Callable[[], None]) -> None:
-        self._at(self.stage.now() + seconds, call)
+    def _call_after(self, seconds: float, callback: Callable[[], None]) -> None:
+        self._call_at(self.stage.now() + seconds, callback)
 
-    def _say(self, text: str) -> None:
+    def _log_event(self, text: str) -> None:
         self.run.log.append((self.stage.now(), text))
 
-    def _stand(self, place: _Place, name: str, cold: bool) -> None:
-        """A node starts at a place; its own balancer with it."""
-        place.name, place.starts = name, place.starts + 1
-        self._places[name] = place
-        node = place.node = self.stage.run_as(
+    def _start_node(self, node_host: _NodeHost, name: str, cold: bool) -> None:
+        """Start a node process on a host, and its own balancer if there is a next tier."""
+        node_host.name, node_host.start_count = name, node_host.start_count + 1
+        self._host_by_node[name] = node_host
+        node = node_host.node = self.stage.run_as(
             name,
             lambda: Node(
                 self.stage,
                 self.checker,
                 name,
-                place.tier,
-                place.kind,
-                self.script.contract,
+                node_host.tier,
+                node_host.kind,
+                self.scenario.contract,
                 self._classes,
                 self._idempotency_keys,
                 self.seed,
                 cold,
-                self._speech if place.tier is self.script.tiers[0] else Speech(),
+                self._speech if node_host.tier is self.scenario.tiers[0] else Speech(),
             ),
         )
-        node.excuse_for = self._excuse  # type: ignore[method-assign]
-        for balancer, address in list(place.addresses.items()):
+        node.excuse_for = self._excuse_for  # type: ignore[method-assign]
+        for balancer, address in list(node_host.addresses.items()):
             self.stage.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
-        tier = self._tiers[place.tier.name]
-        if tier + 1 < len(self.script.tiers):
+        tier = self._tier_index[node_host.tier.name]
+        if tier + 1 < len(self.scenario.tiers):
             balancer = f"b-{name}"
             self._tier_of_balancer[balancer] = tier + 1
-            self._launch(balancer)
+            self._launch_balancer(balancer)
             node.next_tier = (balancer, self._addresses[balancer])
 
     def _address_of(self, name: str, balancer: str) -> Address:
-        place = self._places[name]
-        if balancer not in place.addresses:
-            node = place.node
-            if node is None or place.name != name:
-                return ("127.0.0.1", 9)  # nobody is there any more
-            place.addresses[balancer] = self.stage.run_as(
+        node_host = self._host_by_node[name]
+        if balancer not in node_host.addresses:
+            node = node_host.node
+            if node is None or node_host.name != name:
+                return ("127.0.0.1", 9)  # no process of this name runs there any more
+            node_host.addresses[balancer] = self.stage.run_as(
                 name, lambda: node.listen(balancer, ("127.0.0.1", 0))
             )
-        return place.addresses[balancer]
+        return node_host.addresses[balancer]
 
     # ---- balancers
 
-    def _launch(self, name: str) -> None:
+    def _launch_balancer(self, name: str) -> None:
         if name not in self._addresses:
             self._addresses[name] = self.stage.free_address()
-        listed = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
-        known = self.registry.balancer_started(name)
-        self._launched[name] = self.stage.now()
-        self._configs[name] = config = self._config(name, self._addresses[name], listed, known)
-        self._balancers[name] = self.stage.launch(name, config, lambda status: self._ended(name, status))
+        registry_address = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
+        known_list = self.registry.balancer_started(name)
+        self._launched_at[name] = self.stage.now()
+        self._configs[name] = config = self._config(name, self._addresses[name], registry_address, known_list)
+        self._balancers[name] = self.stage.launch(
+            name, config, lambda status: self._balancer_ended(name, status)
+        )
 
-    def _config(self, name: str, listen: Address, listed: Address, known: dict[str, Any]) -> Config:
+    def _config(
+        self, name: str, listen: Address, registry_address: Address, known_list: dict[str, Any]
+    ) -> Config:
         tier = self._tier_of_balancer[name]
-        if self._file is not None and tier == 0:
-            return carried.placed(self._file, self.script, listen, listed)
+        if self._operator_file is not None and tier == 0:
+            return carried.placed(self._operator_file, self.scenario, listen, registry_address)
         return platform_file.configuration(
-            self.script, tier, name, listen, listed, known, self._random.getrandbits(64)
+            self.scenario, tier, name, listen, registry_address, known_list, self._random.getrandbits(64)
         )
 
-    def _ended(self, name: str, status: int | None) -> None:
-        """A balancer has ended: told to, killed by us, or it has crashed."""
-        if self._over:
+    def _balancer_ended(self, name: str, status: int | None) -> None:
+        """Handle the end of a balancer; `status` is None if the simulation killed it."""
+        if self._finished:
             return
         self.registry.balancer_ended(name)
         self.checker.forget_balancer(name)
         if status not in (0, None):
             self.run.faults.append(f"{name} ended with status {status}")
 
-    def _excuse(self, balancer: str, since: float) -> str:
-        """Why a balancer may have left a call unanswered that was made at `since`."""
+    def _excuse_for(self, balancer: str, since: float) -> str:
+        """Return the fault that excuses a balancer for not answering a call made at `since`, or ""."""
         now = self.stage.now()
-        for name, begun, until, why in self._downs:
-            if name == balancer and begun <= now and until + 0.3 >= since:
-                return why
+        for name, began_at, until, reason in self._excuses:
+            if name == balancer and began_at <= now and until + 0.3 >= since:
+                return reason
         return ""
 
-    def _excused(self, balancer: str, why: str, seconds: float) -> None:
+    def _add_excuse(self, balancer: str, reason: str, seconds: float) -> None:
         now = self.stage.now()
-        self._downs = [d for d in self._downs if d[2] > now - 60]
-        self._downs.append((balancer, now, now + seconds, why))
+        self._excuses = [d for d in self._excuses if d[2] > now - 60]
+        self._excuses.append((balancer, now, now + seconds, reason))
 
-    def _kill_balancer(self, name: str, why: str) -> None:
+    def _kill_balancer(self, name: str, reason: str) -> None:
         running = self._balancers.get(name)
         if running is not None and running.alive:
-            self._excused(name, why, 5.0)
+            self._add_excuse(name, reason, 5.0)
             running.kill()
-            self._ended(name, None)
+            self._balancer_ended(name, None)
 
-    # ---- what the script does
+    # ---- events of the scenario
 
-    def _happen(self, event: model.Event) -> None:
+    def _apply_event(self, event: model.Event) -> None:
         if isinstance(event, model.NodeFault):
-            for name in self._chosen(event):
-                self._node_fault(event, name)
+            for name in self._matching_names(event):
+                self._apply_node_fault(event, name)
             return
         match event:
             case model.ListDown():
-                self._say(f"the list is out of reach for {event.for_s:g} s")
+                self._log_event(f"the registry is unreachable for {event.for_s:g} s")
                 self.registry.set_unreachable(True)
-                self._after(event.for_s, lambda: self.registry.set_unreachable(False))
+                self._call_after(event.for_s, lambda: self.registry.set_unreachable(False))
             case model.SharedSlow():
-                self._say(f"every node {event.factor:g} times slower for {event.for_s:g} s")
-                for place in self._all_places:
-                    if event.tier in ("", place.tier.name) and place.node is not None:
-                        self._for_a_while(
-                            place.node, event.for_s, lambda n, on: n.slow_down(_either(event.factor, on))
+                self._log_event(f"every node {event.factor:g} times slower for {event.for_s:g} s")
+                for node_host in self._hosts:
+                    if event.tier in ("", node_host.tier.name) and node_host.node is not None:
+                        self._apply_for(
+                            node_host.node,
+                            event.for_s,
+                            lambda n, on: n.slow_down(_factor_or_inverse(event.factor, on)),
                         )
             case model.Rush():
-                self._say(f"clients send {event.factor:g} times as much for {event.for_s:g} s")
-                rush = (event.factor, event.tenant)
-                self.clients.rate_surges.append(rush)
-                self._after(event.for_s, lambda: self.clients.rate_surges.remove(rush))
+                self._log_event(f"clients send {event.factor:g} times as much for {event.for_s:g} s")
+                surge = (event.factor, event.tenant)
+                self.clients.rate_surges.append(surge)
+                self._call_after(event.for_s, lambda: self.clients.rate_surges.remove(surge))
             case model.Partition():
                 self._partition(event)
             case model.Stop():
-                self._stop(event)
+                self._stop_balancer(event)
             case model.Kill():
-                self._say(f"{event.balancer} killed")
+                self._log_event(f"{event.balancer} killed")
                 self._kill_balancer(event.balancer, "killed")
-                self.stage.run_as("clients", lambda: self._front_died(event.balancer))
+                self.stage.run_as("clients", lambda: self._front_balancer_died(event.balancer))
                 if event.back_s:
-                    self._after(event.back_s, lambda: self._relaunch(event.balancer))
+                    self._call_after(event.back_s, lambda: self._relaunch_balancer(event.balancer))
             case model.Reload():
-                self._reload(event.balancer)
+                self._reload_balancer(event.balancer)
             case model.Clock():
-                self._say(f"{event.balancer}: wall clock set by {event.by_s:g} s")
+                self._log_event(f"{event.balancer}: wall clock set by {event.by_s:g} s")
                 self.stage.set_clock(event.balancer, event.by_s)
 
-    def _front_died(self, balancer: str) -> None:
+    def _front_balancer_died(self, balancer: str) -> None:
         if balancer in self.clients.front.addresses:
             self.clients.front.balancer_died(balancer)
 
-    def _relaunch(self, name: str) -> None:
+    def _relaunch_balancer(self, name: str) -> None:
         running = self._balancers.get(name)
         if running is not None and running.alive:
             return
-        self._say(f"{name} starts again")
-        self._launch(name)
+        self._log_event(f"{name} starts again")
+        self._launch_balancer(name)
         if name in self.clients.front.addresses:
             self.stage.run_as("clients", lambda: self.clients.front.balancer_started(name))
 
-    def _stop(self, event: model.Stop) -> None:
+    def _stop_balancer(self, event: model.Stop) -> None:
         name = event.balancer
         running = self._balancers.get(name)
         if running is None or not running.alive:
             return
-        self._say(f"{name} gets SIGTERM")
+        self._log_event(f"{name} gets SIGTERM")
         if name in self.clients.front.addresses:
             self.stage.run_as("clients", lambda: self.clients.front.balancer_stopping(name))
-        self._stopped[name] = self.stage.now()
+        self._stop_sent_at[name] = self.stage.now()
         running.terminate()
-        bound = min(max(c.deadline_ms for c in self.script.classes) / 1000, LONGEST_S) + KILL_AFTER_S
-        if isinstance(self._configs[name], File) and self._file is not None:
-            bound = self._file.drain.kill_after_s
-        begun = self.stage.now()
-        for number, what in enumerate(event.then, 1):
-            self._after(number * event.every_ms / 1000, lambda what=what: self._signal(name, running, what))  # type: ignore[misc]
-
-        def look() -> None:
-            if running.alive and self.stage.now() < begun + bound:
-                self._after(0.05, look)
+        limit_s = (
+            min(max(c.deadline_ms for c in self.scenario.classes) / 1000, MAX_DEADLINE_COUNTED_S)
+            + KILL_MARGIN_S
+        )
+        if isinstance(self._configs[name], File) and self._operator_file is not None:
+            limit_s = self._operator_file.drain.kill_after_s
+        began_at = self.stage.now()
+        for number, signal_name in enumerate(event.then, 1):
+            self._call_after(
+                number * event.every_ms / 1000,
+                lambda signal_name=signal_name: self._send_signal(name, running, signal_name),  # type: ignore[misc]
+            )
+
+        def check_ended() -> None:
+            if running.alive and self.stage.now() < began_at + limit_s:
+                self._call_after(0.05, check_ended)
                 return
             if running.alive:
-                self._say(f"{name} did not end in time: killed")
+                self._log_event(f"{name} did not end in time: killed")
                 running.kill()
-                self._ended(name, None)
+                self._balancer_ended(name, None)
             if event.back_s:
-                self._after(event.back_s, lambda: self._relaunch(name))
+                self._call_after(event.back_s, lambda: self._relaunch_balancer(name))
 
-        look()
+        check_ended()
 
-    def _signal(self, name: str, running: Running, what: str) -> None:
-        """One more signal for a balancer that has had SIGTERM."""
+    def _send_signal(self, name: str, running: Running, signal_name: str) -> None:
+        """Send a further signal to a balancer that has received SIGTERM."""
         if not running.alive:
             return
-        self._say(f"{name} gets {what}")
-        match what:
+        self._log_event(f"{name} gets {signal_name}")
+        match signal_name:
             case "term":
                 running.terminate()
             case "int":
@@ -396,11 +415,11 @@
             case "bad-hup":
                 running.reload_unusable()
 
-    def _reload(self, name: str) -> None:
+    def _reload_balancer(self, name: str) -> None:
         running = self._balancers.get(name)
         if running is None or not running.alive:
             return
-        self._say(f"{name}: discovery moves, SIGHUP")
+        self._log_event(f"{name}: discovery moves, SIGHUP")
         host, port = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
         config = self._configs[name]
         if isinstance(config, File):
@@ -414,104 +433,117 @@
         self._configs[name] = config
         running.reload(config)
 
-    def _chosen(self, event: model.NodeFault) -> list[str]:
-        names = [p.name for p in self._all_places if p.node is not None]
+    def _matching_names(self, event: model.NodeFault) -> list[str]:
+        names = [p.name for p in self._hosts if p.node is not None]
         if isinstance(event, model.Pause | model.Delay):
             names += [*self._balancers, "clients", "discovery"]
-        found = [n for n in names if any(fnmatchcase(n, pattern) for pattern in event.nodes)]
-        if event.count and event.count < len(found):
-            found = sorted(self._random.sample(found, event.count), key=names.index)
-        return found
+        matches = [n for n in names if any(fnmatchcase(n, pattern) for pattern in event.nodes)]
+        if event.count and event.count < len(matches):
+            matches = sorted(self._random.sample(matches, event.count), key=names.index)
+        return matches
 
-    def _for_a_while(self, node: Node, seconds: float, turn: Callable[[Node, bool], None]) -> None:
-        self.stage.run_as(node.name, lambda: turn(node, True))
+    def _apply_for(self, node: Node, seconds: float, toggle: Callable[[Node, bool], None]) -> None:
+        self.stage.run_as(node.name, lambda: toggle(node, True))
 
-        def end() -> None:
+        def revert() -> None:
             if not node.dead:
-                self.stage.run_as(node.name, lambda: turn(node, False))
+                self.stage.run_as(node.name, lambda: toggle(node, False))
 
-        self._after(seconds, end)
+        self._call_after(seconds, revert)
 
-    def _node_fault(self, event: model.NodeFault, name: str) -> None:
-        place = self._places.get(name)
-        node = place.node if place is not None else None
-        lasting = f"for {event.for_s:g} s"
+    def _apply_node_fault(self, event: model.NodeFault, name: str) -> None:
+        node_host = self._host_by_node.get(name)
+        node = node_host.node if node_host is not None else None
+        duration = f"for {event.for_s:g} s"
         match event:
             case model.Slow() if node is not None:
-                self._say(f"{name} {event.factor:g} times slower {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: n.slow_down(_either(event.factor, on)))
+                self._log_event(f"{name} {event.factor:g} times slower {duration}")
+                self._apply_for(
+                    node, event.for_s, lambda n, on: n.slow_down(_factor_or_inverse(event.factor, on))
+                )
             case model.Silent() if node is not None:
-                self._say(f"{name} silent {lasting}")
+                self._log_event(f"{name} sends no responses {duration}")
 
-                def silence(n: Node, on: bool) -> None:
+                def set_silent(n: Node, on: bool) -> None:
                     n.silent_count += 1 if on else -1
 
-                self._for_a_while(node, event.for_s, silence)
+                self._apply_for(node, event.for_s, set_silent)
             case model.Hang() if node is not None:
-                self._say(f"{name} hangs {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: n.set_hanging(on))
+                self._log_event(f"{name} hangs {duration}")
+                self._apply_for(node, event.for_s, lambda n, on: n.set_hanging(on))
             case model.Reset() if node is not None:
-                self._say(f"{name} resets {event.share:.0%} {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: _note(n.reset_shares, event.share, on))
+                self._log_event(
+                    f"{name} resets the connection for {event.share:.0%} of its responses {duration}"
+                )
+                self._apply_for(
+                    node, event.for_s, lambda n, on: _add_or_remove(n.reset_shares, event.share, on)
+                )
             case model.Spoil() if node is not None:
-                self._say(f"{name} spoils {event.share:.0%} of its answers {lasting}")
-                self._for_a_while(node, event.for_s, lambda n, on: _note(n.malformed_shares, event.share, on))
+                self._log_event(
+                    f"{name} sends malformed bytes for {event.share:.0%} of its responses {duration}"
+                )
+                self._apply_for(
+                    node, event.for_s, lambda n, on: _add_or_remove(n.malformed_shares, event.share, on)
+                )
             case model.Pause():
-                self._say(f"{name} stands still {lasting}")
-                self._pause(name, node, event.for_s)
+                self._log_event(f"{name} is paused {duration}")
+                self._pause_process(name, node, event.for_s)
             case model.Delay():
-                self._say(f"{name} {event.ms:g} ms further away {lasting}")
-                self._delay(name, node, event)
-            case model.Crash() if place is not None and node is not None:
-                self._crash(event, place)
-            case model.Drain() if place is not None and node is not None:
-                self._drain(event, place, node)
-
-    def _pause(self, name: str, node: Node | None, seconds: float) -> None:
+                self._log_event(f"{name}: network delay {event.ms:g} ms longer {duration}")
+                self._delay_network(name, node, event)
+            case model.Crash() if node_host is not None and node is not None:
+                self._crash_node(event, node_host)
+            case model.Drain() if node_host is not None and node is not None:
+                self._drain_node(event, node_host, node)
+
+    def _pause_process(self, name: str, node: Node | None, seconds: float) -> None:
         if name in self._balancers:
-            self._excused(name, "paused", seconds)
+            self._add_excuse(name, "paused", seconds)
         if node is not None and not self.stage.exact:
-            self._for_a_while(node, seconds, lambda n, on: n.set_paused(on))
+            self._apply_for(node, seconds, lambda n, on: n.set_paused(on))
             return
         if node is not None:
-            self._for_a_while(node, seconds, lambda n, on: n.set_stopped(on))
-            own = f"b-{name}"
-            if own in self._balancers:
-                self._pause(own, None, seconds)
-        slept_from = self.stage.now()
+            self._apply_for(node, seconds, lambda n, on: n.set_stopped(on))
+            own_balancer = f"b-{name}"
+            if own_balancer in self._balancers:
+                self._pause_process(own_balancer, None, seconds)
+        paused_since = self.stage.now()
         self.stage.pause(name, True)
 
-        def wake() -> None:
+        def resume() -> None:
             self.stage.pause(name, False)
-            self.checker.woke(self.stage.now(), name, slept_from)
+            self.checker.woke(self.stage.now(), name, paused_since)
 
-        self._after(seconds, wake)
+        self._call_after(seconds, resume)
 
-    def _delay(self, name: str, node: Node | None, event: model.Delay) -> None:
+    def _delay_network(self, name: str, node: Node | None, event: model.Delay) -> None:
         for balancer in self._balancers if name in ("clients", "discovery") else (name,):
-            self._excused(balancer, "its network is slow", event.for_s)
+            self._add_excuse(balancer, "its network is slow", event.for_s)
         if node is not None and not self.stage.exact:
 
             def add_delay(n: Node, on: bool) -> None:
                 n.delay_s += event.ms / 1000 * (1 if on else -1)
 
-            self._for_a_while(node, event.for_s, add_delay)
+            self._apply_for(node, event.for_s, add_delay)
             return
         self.stage.delay(name, event.ms / 1000)
-        self._after(event.for_s, lambda: self.stage.delay(name, -event.ms / 1000))
+        self._call_after(event.for_s, lambda: self.stage.delay(name, -event.ms / 1000))
 
     def _partition(self, event: model.Partition) -> None:
-        names = [*(p.name for p in self._all_places), *self._balancers, "clients", "discovery"]
-        sides = [[n for n in names if any(fnmatchcase(n, x) for x in side)] for side in (event.a, event.b)]
-        self._say(f"{', '.join(event.a)} and {', '.join(event.b)} cut off for {event.for_s:g} s")
+        names = [*(p.name for p in self._hosts), *self._balancers, "clients", "discovery"]
+        sides = [
+            [n for n in names if any(fnmatchcase(n, pattern) for pattern in side)]
+            for side in (event.a, event.b)
+        ]
+        self._log_event(f"{', '.join(event.a)} and {', '.join(event.b)} cut off for {event.for_s:g} s")
         for name in {*sides[0], *sides[1]}:
             if name in self._balancers:
-                self._excused(name, "cut off", event.for_s)
-        if not self.stage.exact:  # live, a node that is cut off stands still for all
-            nodes = next(side for side in sides if all(n in self._places for n in side))
+                self._add_excuse(name, "cut off", event.for_s)
+        if not self.stage.exact:  # in a live run a node that is cut off is paused for all
+            nodes = next(side for side in sides if all(n in self._host_by_node for n in side))
             for name in nodes:
-                if (node := self._places[name].node) is not None:
-                    self._for_a_while(node, event.for_s, lambda n, on: n.set_paused(on))
+                if (node := self._host_by_node[name].node) is not None:
+                    self._apply_for(node, event.for_s, lambda n, on: n.set_paused(on))
             return
         pairs = [(a, b) for a in sides[0] for b in sides[1] if a != b]
         for a, b in pairs:
@@ -521,69 +553,67 @@
             for a, b in pairs:
                 self.stage.cut(a, b, False)
 
-        self._after(event.for_s, heal)
+        self._call_after(event.for_s, heal)
 
-    def _crash(self, event: model.Crash, place: _Place) -> None:
-        name = place.name
-        self._say(f"{name} crashes")
-        self._fell_out(place)
-        assert place.entry is not None
-        self.registry.schedule_change(replace(place.entry, phase="left"))
+    def _crash_node(self, event: model.Crash, node_host: _NodeHost) -> None:
+        name = node_host.name
+        self._log_event(f"{name} crashes")
+        self._end_node_process(node_host)
+        assert node_host.entry is not None
+        self.registry.schedule_change(replace(node_host.entry, phase="left"))
         if event.back_as == "never":
             return
-        after = name if event.back_as == "same" else f"{name}-r{place.starts}"
-        self._after(event.for_s, lambda: self._start(place, after))
+        next_name = name if event.back_as == "same" else f"{name}-r{node_host.start_count}"
+        self._call_after(event.for_s, lambda: self._start_replacement(node_host, next_name))
 
-    def _drain(self, event: model.Drain, place: _Place, node: Node) -> None:
-        name = place.name
-        self._say(f"{name} drains")
-        entry = place.entry
+    def _drain_node(self, event: model.Drain, node_host: _NodeHost, node: Node) -> None:
+        name = node_host.name
+        self._log_event(f"{name} drains")
+        entry = node_host.entry
         assert entry is not None
         self.registry.schedule_change(replace(entry, phase="leaving"))
 
-        def leave() -> None:
-            if place.node is not node:
-                return  # it crashed meanwhile
-            self._say(f"{name} has left")
-            self._fell_out(place)
+        def finish_drain() -> None:
+            if node_host.node is not node:
+                return  # the node crashed meanwhile
+            self._log_event(f"{name} has left")
+            self._end_node_process(node_host)
             self.registry.schedule_change(replace(entry, phase="left"))
             if event.back_s:
-                self._after(event.back_s, lambda: self._start(place, name))
+                self._call_after(event.back_s, lambda: self._start_replacement(node_host, name))
 
-        self._after(event.for_s, leave)
+        self._call_after(event.for_s, finish_drain)
 
-    def _fell_out(self, place: _Place) -> None:
-        """The node's process ends, and its own balancer with it."""
-        node, place.node = place.node, None
+    def _end_node_process(self, node_host: _NodeHost) -> None:
+        """End the node's process and its own balancer."""
+        node, node_host.node = node_host.node, None
         assert node is not None
         self._kill_balancer(f"b-{node.name}", "its node ended")
         self.stage.run_as(node.name, node.close)
         self.stage.kill(node.name)
 
-    def _start(self, place: _Place, name: str) -> None:
-        if place.node is not None:
+    def _start_replacement(self, node_host: _NodeHost, name: str) -> None:
+        if node_host.node is not None:
             return
-        self._say(f"{name} starts")
-        self._stand(place, name, cold=True)
-        place.entry = RegistryEntry(
-            name, place.tier.name, "active", place.number, self.stage.unix_ms(), self.stage.now()
+        self._log_event(f"{name} starts")
+        self._start_node(node_host, name, cold=True)
+        node_host.entry = RegistryEntry(
+            name, node_host.tier.name, "active", node_host.number, self.stage.unix_ms(), self.stage.now()
         )
-        self.registry.schedule_change(replace(place.entry))
+        self.registry.schedule_change(replace(node_host.entry))
 
-    def _sample(self) -> None:
-        requests_by_node = {
-            p.name: p.node.machine.request_count for p in self._all_places if p.node is not None
-        }
+    def _take_sample(self) -> None:
+        requests_by_node = {p.name: p.node.machine.request_count for p in self._hosts if p.node is not None}
         ready = sum(self.clients.front.is_ready(n) for n in self.clients.front.addresses)
         self.run.samples.append(Sample(self.stage.now(), requests_by_node, ready))
-        self._after(SAMPLE_S, self._sample)
+        self._call_after(SAMPLE_INTERVAL_S, self._take_sample)
 
 
-def _either(factor: float, on: bool) -> float:
+def _factor_or_inverse(factor: float, on: bool) -> float:
     return factor if on else 1 / factor
 
 
-def _note(values: list[float], value: float, on: bool) -> None:
+def _add_or_remove(values: list[float], value: float, on: bool) -> None:
     if on:
         values.append(value)
     else:
