--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -1,9 +1,9 @@
-"""An operator's file in a rehearsal: the first tier's balancers are sidecars that run it.
+"""Simulation of an operator's file: the balancers of the first tier are sidecars that run it.
 
-The file says what its classes wait for and what may be repeated, how its servers start, and what a sidecar may
-use. The script says what is sent and what goes wrong. Of the file one application is played. Its servers are the
-script's nodes, which the sidecar finds by the rehearsal's list, whatever source the file names: a drain is told
-by a list only.
+The file sets the deadlines of its classes, which requests may be repeated, how its servers start and what a
+sidecar may use. The scenario sets the traffic and the failures. One application of the file is simulated. Its
+servers are the scenario's nodes, which the sidecar finds through the simulated registry whatever source the file
+names, because only a registry can announce a drain.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from passpost.rehearsal.speech import PlainSpeech, sample
 from umberworks.rules import Balancer
 
-FROM_FILE = ("aim_ms", "deadline_ms", "effect", "window_ms", "worth", "late_share")
-CONTRACT_FROM_FILE = (
+CLASS_FIELDS_FROM_FILE = ("aim_ms", "deadline_ms", "effect", "window_ms", "worth", "late_share")
+CONTRACT_FIELDS_FROM_FILE = (
     "cold_ms", "cold_from", "overload_factor", "overload_ms", "attempts", "second_copies", "retry_after_ms",
     "connect_timeout_ms", "ask_within_ms", "sockets",
 )  # fmt: skip
-SECRET = "rehearsed"  # what every variable of the environment holds that the file names
+ENVIRONMENT_VALUE = "rehearsed"  # value of every environment variable that the file names
 
 
 class MismatchError(Exception):
-    """Script and file do not belong together; `key` is the script's, the text the reason."""
+    """The scenario and the operator's file contradict each other; `key` is the key in the scenario."""
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(f"{key}: {text}")
@@ -41,7 +41,7 @@
 
 
 def read_operator_file(path: str) -> File:
-    """The operator's file; raises MismatchError if it is not fit to run."""
+    """Read an operator's file; raise MismatchError if it can't be read or has errors."""
     try:
         reading = load(path)
     except UnreadableError as error:
@@ -49,112 +49,116 @@
     errors = [p for p in findings(reading) if not p.warning]
     if errors:
         first = errors[0]
-        more = f", and {len(errors) - 1} more mistakes" if len(errors) > 1 else ""
-        raise MismatchError("sidecar.file", f"{path}:{first.line}: {first.key}: {first.text}{more}")
+        other_errors = f", and {len(errors) - 1} more mistakes" if len(errors) > 1 else ""
+        raise MismatchError("sidecar.file", f"{path}:{first.line}: {first.key}: {first.text}{other_errors}")
     assert reading.file is not None
     return reading.file
 
 
-def application_of(script: Script, file: File) -> Application:
-    """The application that is played; raises MismatchError if there is none of that name."""
-    assert script.sidecar is not None
+def application_of(scenario: Script, file: File) -> Application:
+    """Return the application that is simulated; raise MismatchError if the file has none of that name."""
+    assert scenario.sidecar is not None
     for application in file.applications:
-        if application.name == script.sidecar.application:
+        if application.name == scenario.sidecar.application:
             return application
     names = ", ".join(a.name for a in file.applications[:4])
-    raise MismatchError("sidecar.application", f"{script.sidecar.application!r} is none of {names}")
+    raise MismatchError("sidecar.application", f"{scenario.sidecar.application!r} is none of {names}")
 
 
-def merge_operator_file(script: Script, file: File) -> Script:
-    """The script with all that the file says; raises MismatchError where they contradict each other."""
-    application = application_of(script, file)
-    known = {c.name: c for c in application.classes}
+def merge_operator_file(scenario: Script, file: File) -> Script:
+    """Return the scenario with the settings of the file; raise MismatchError where the two contradict."""
+    application = application_of(scenario, file)
+    classes_by_name = {c.name: c for c in application.classes}
     routes = Routes(application.classes)
     classes = []
-    for i, cls in enumerate(script.classes):
-        key = f"classes[{i}]"
-        found = known.get(cls.name)
-        if found is None:
+    for index, cls in enumerate(scenario.classes):
+        key = f"classes[{index}]"
+        file_class = classes_by_name.get(cls.name)
+        if file_class is None:
             raise MismatchError(f"{key}.name", f"{application.name} has no class {cls.name!r}")
-        _not_said(cls, FROM_FILE, key)
-        method, path = sample(found)
+        _reject_if_set(cls, CLASS_FIELDS_FROM_FILE, key)
+        method, path = sample(file_class)
         if method == "HEAD":
-            raise MismatchError(key, "it takes HEAD only, whose answers have nothing that could be watched")
-        if routes.find(method, path) is not found:
-            raise MismatchError(key, f"{method} {path}, which stands for its path, is of another class")
+            raise MismatchError(
+                key, "it takes HEAD only, and a response to HEAD has no body that could be checked"
+            )
+        if routes.find(method, path) is not file_class:
+            raise MismatchError(key, f"{method} {path}, the sample for its path, matches another class")
         classes.append(
             msgspec.structs.replace(
                 cls,
-                aim_ms=found.aim_ms or AIM_PART * found.deadline_ms,
-                deadline_ms=found.deadline_ms,
-                effect=found.effect,
-                window_ms=found.window_ms,
-                worth=found.worth,
-                late_share=found.late_share,
+                aim_ms=file_class.aim_ms or AIM_PART * file_class.deadline_ms,
+                deadline_ms=file_class.deadline_ms,
+                effect=file_class.effect,
+                window_ms=file_class.window_ms,
+                worth=file_class.worth,
+                late_share=file_class.late_share,
             )
         )
-    _not_said(script.contract, CONTRACT_FROM_FILE, "contract")
-    if script.tiers[0].balancers > application.balancers:
+    _reject_if_set(scenario.contract, CONTRACT_FIELDS_FROM_FILE, "contract")
+    if scenario.tiers[0].balancers > application.balancers:
         raise MismatchError(
             "tiers[0].balancers",
-            f"{script.tiers[0].balancers} sidecars, and the file counts on {application.balancers}",
+            f"{scenario.tiers[0].balancers} sidecars, and the file is written for {application.balancers}",
         )
-    cold, source = application.cold, application.upstreams
+    cold_start, upstream_source = application.cold, application.upstreams
     contract = msgspec.structs.replace(
-        script.contract,
-        cold_ms=cold.span_ms,
-        cold_from=cold.start,
-        overload_factor=cold.most,
-        overload_ms=cold.window_ms,
+        scenario.contract,
+        cold_ms=cold_start.span_ms,
+        cold_from=cold_start.start,
+        overload_factor=cold_start.most,
+        overload_ms=cold_start.window_ms,
         attempts=application.attempts,
         second_copies=application.copies,
         retry_after_ms=application.retry_after_ms,
         connect_timeout_ms=application.connect_ms,
-        ask_within_ms=source.ask_within_ms if isinstance(source, Discovered) else 10_000.0,
+        ask_within_ms=upstream_source.ask_within_ms if isinstance(upstream_source, Discovered) else 10_000.0,
         sockets=file.limits.descriptors,
     )
-    return msgspec.structs.replace(script, classes=tuple(classes), contract=contract)
+    return msgspec.structs.replace(scenario, classes=tuple(classes), contract=contract)
 
 
-def _not_said(part: Class | Contract, names: tuple[str, ...], key: str) -> None:
-    defaults = {f.name: f.default for f in msgspec.structs.fields(type(part))}
+def _reject_if_set(section: Class | Contract, names: tuple[str, ...], key: str) -> None:
+    defaults = {f.name: f.default for f in msgspec.structs.fields(type(section))}
     for name in names:
-        if getattr(part, name) != defaults[name]:
-            raise MismatchError(f"{key}.{name}", "the operator's file says this; leave it out")
+        if getattr(section, name) != defaults[name]:
+            raise MismatchError(f"{key}.{name}", "the operator's file sets this; remove it here")
 
 
-def placed(file: File, script: Script, listen: Address, discovery: Address) -> File:
-    """The file as one sidecar of the night runs it: one application, its own address, the night's list."""
-    application = application_of(script, file)
-    callers, upstreams = connections(file)
-    share = len(file.applications)
+def sidecar_file(file: File, scenario: Script, listen: Address, discovery: Address) -> File:
+    """Return the file of one sidecar in a run: one application, the sidecar's address and the simulated registry."""
+    application = application_of(scenario, file)
+    caller_connections, upstreams = connections(file)
+    application_count = len(file.applications)
     limits = msgspec.structs.replace(
-        file.limits, connections=max(callers // share, 1), upstream_connections=max(upstreams // share, 1)
+        file.limits,
+        connections=max(caller_connections // application_count, 1),
+        upstream_connections=max(upstreams // application_count, 1),
     )
-    source = Discovered(
+    upstream_source = Discovered(
         address=f"{discovery[0]}:{discovery[1]}",
-        mode=script.discovery.mode,
-        ask_within_ms=script.contract.ask_within_ms,
+        mode=scenario.discovery.mode,
+        ask_within_ms=scenario.contract.ask_within_ms,
     )
-    played = msgspec.structs.replace(
-        application, listen=f"{listen[0]}:{listen[1]}", upstreams=source, calls=()
+    simulated_application = msgspec.structs.replace(
+        application, listen=f"{listen[0]}:{listen[1]}", upstreams=upstream_source, calls=()
     )
-    return msgspec.structs.replace(file, limits=limits, applications=(played,))
+    return msgspec.structs.replace(file, limits=limits, applications=(simulated_application,))
 
 
 def environment(file: File) -> Mapping[str, str]:
-    """Every variable that the file's headers name, with a value that is no secret."""
+    """Return every environment variable that the file's headers name, with a placeholder value."""
     values = [v for a in file.applications for v in a.add_headers.values()]
-    return {v.removeprefix("env:"): SECRET for v in values if v.startswith("env:")}
+    return {v.removeprefix("env:"): ENVIRONMENT_VALUE for v in values if v.startswith("env:")}
 
 
-def speech(script: Script, file: File) -> PlainSpeech:
-    """How the night's clients and first tier speak."""
-    return PlainSpeech(application_of(script, file), file.health.path)
+def speech(scenario: Script, file: File) -> PlainSpeech:
+    """Return the request format of the clients and of the first tier."""
+    return PlainSpeech(application_of(scenario, file), file.health.path)
 
 
 def start_sidecar(file: File, seed: str, host: Host = HOST, module: type[Balancer] = Balancer) -> Sidecar:
-    """A sidecar that serves; the same seed draws the same."""
+    """Start a sidecar; its random draws depend on the seed only."""
     sidecar = Sidecar(file, environment(file), host, module, random.Random(seed).getrandbits)
     sidecar.start()
     return sidecar
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -23,9 +23,7 @@
 from passpost.rehearsal.stage import Config, Running, Stage
 from passpost.rehearsal.watch import Break, Watch
 
-READY_TIMEOUT_S = (
-    20.0  # a balancer that is not ready by then will not become ready; the run ends with a fault
-)
+READY_TIMEOUT_S = 20.0  # a balancer that is not ready by then never will be; the run ends with a fault
 SAMPLE_INTERVAL_S = 0.5
 KILL_MARGIN_S = 0.7  # SIGKILL follows SIGTERM no sooner than after the longest deadline plus this margin
 MAX_DEADLINE_COUNTED_S = 3.0  # upper bound of the longest deadline in that sum
@@ -275,7 +273,7 @@
     ) -> Config:
         tier = self._tier_of_balancer[name]
         if self._operator_file is not None and tier == 0:
-            return carried.placed(self._operator_file, self.scenario, listen, registry_address)
+            return carried.sidecar_file(self._operator_file, self.scenario, listen, registry_address)
         return platform_file.configuration(
             self.scenario, tier, name, listen, registry_address, known_list, self._random.getrandbits(64)
         )
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -164,12 +164,12 @@
         ({"classes": (Class(name="view"),)}, r"classes\[0\].name: render has no class 'view'"),
         (
             {"classes": (Class(name="frame", deadline_ms=500),)},
-            r"classes\[0\].deadline_ms: the operator's file says",
+            r"classes\[0\].deadline_ms: the operator's file sets this",
         ),
-        ({"contract": Contract(cold_ms=4.0)}, "contract.cold_ms: the operator's file says"),
+        ({"contract": Contract(cold_ms=4.0)}, "contract.cold_ms: the operator's file sets this"),
         (
             {"tiers": (Tier(name="render", kinds=(Kind(name="plain"),), balancers=3),)},
-            r"tiers\[0\].balancers: 3 sidecars, and the file counts on 1",
+            r"tiers\[0\].balancers: 3 sidecars, and the file is written for 1",
         ),
     ],
 )
