--- a/passpost/rehearsal/platform_file.py
+++ b/passpost/rehearsal/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's configuration file as balancers in the simulator get it. No I/O."""
+"""The platform's configuration of simulated balancers. No I/O."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from passpost.host import Address
 from passpost.rehearsal.model import Script
 
-EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+PLATFORM_EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 MEMORY_MB = 192
 
 
 def configuration(
-    script: Script,
+    scenario: Script,
     tier: int,
     name: str,
     listen: Address,
     discovery: Address,
-    known: dict[str, Any],
+    known_list: dict[str, Any],
     seed: int,
 ) -> dict[str, Any]:
-    """The file of one balancer before a tier; `known` is the list as it last had it."""
+    """Return the configuration of one balancer that calls tier number `tier`; `known_list` is its initial list."""
     return {
         "name": name,
         "listen": f"{listen[0]}:{listen[1]}",
         "discovery": f"{discovery[0]}:{discovery[1]}",
         "seed": f"{seed:016x}",
-        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": script.contract.sockets},
-        "known": known,
-        "settings": settings(script, tier),
+        "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": scenario.contract.sockets},
+        "known": known_list,
+        "settings": settings(scenario, tier),
     }
 
 
-def settings(script: Script, tier: int) -> dict[str, Any]:
-    """What balancers before a tier are told of the platform."""
-    contract, discovery = script.contract, script.discovery
-    before = script.tiers[tier - 1] if tier else None
-    balancers = sum(k.count for k in before.kinds) if before else script.tiers[0].balancers
+def settings(scenario: Script, tier: int) -> dict[str, Any]:
+    """Return the platform's settings for the balancers that call tier number `tier`."""
+    contract, discovery = scenario.contract, scenario.discovery
+    calling_tier = scenario.tiers[tier - 1] if tier else None
+    balancers = sum(k.count for k in calling_tier.kinds) if calling_tier else scenario.tiers[0].balancers
     return {
         "balancers": balancers,
         "tier": tier,
@@ -47,15 +47,15 @@
                 "name": c.name,
                 "target": c.aim_ms,
                 "deadline": c.deadline_ms,
-                "effect": EFFECTS[c.effect],
+                "effect": PLATFORM_EFFECTS[c.effect],
                 "keyScope": "all",
                 "repeatWindow": c.window_ms,
                 "worth": c.worth,
                 "lateShare": c.late_share,
             }
-            for c in script.classes
+            for c in scenario.classes
         ],
-        "orgs": [{"name": t.name, "quotaPerS": t.quota_per_s} for t in script.tenants],
+        "orgs": [{"name": t.name, "quotaPerS": t.quota_per_s} for t in scenario.tenants],
         "limits": {
             "attemptsCap": contract.attempts,
             "mayCancel": contract.cancel,
@@ -63,7 +63,7 @@
             "retryAfter": contract.retry_after_ms > 0,
             "maxRetryAfter": contract.retry_after_ms,
             "connectTimeout": contract.connect_timeout_ms,
-            "connIdle": min(k.idle_s for k in script.tiers[tier].kinds) * 1000,
+            "connIdle": min(k.idle_s for k in scenario.tiers[tier].kinds) * 1000,
         },
         "contract": {
             "drainGrace": contract.drain_grace_ms,
