--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -1,4 +1,4 @@
-"""What the rehearsal's tests share: small nights, and balancers broken on purpose."""
+"""Shared by the simulator's tests: small scenarios, and balancers with deliberate faults."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def small_scenario(*events: Event, tiers: int = 1, **changes: Any) -> Script:
-    """A small night of five seconds."""
+    """Return a scenario of five seconds with four nodes per tier."""
     kinds = (Kind(name="fast", count=1, speed=2.0), Kind(name="plain", count=3))
     last = Tier(name="render", kinds=kinds, balancers=1 if tiers > 1 else 2, part=0.5 if tiers > 1 else 1.0)
     first = Tier(name="front", kinds=kinds, balancers=2, part=0.5)
@@ -39,25 +39,28 @@
     return msgspec.convert(msgspec.to_builtins(Script(**(base | changes))), Script)
 
 
-def run_with_decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Run, list[str]]:
+def run_with_decisions(
+    scenario: Script, seed: int, module: type[Balancer] = Balancer
+) -> tuple[Run, list[str]]:
+    """Run a scenario; return its result and one line for each decision of the balancers."""
     lines: list[str] = []
-    return play(night, seed, lines.append, module=module), lines
+    return play(scenario, seed, lines.append, module=module), lines
 
 
 class ServesTwice(Balancer):
     """Sends every tenth request a second time, whatever its class."""
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
-        found = []
+        actions = []
         for action in super().handle(event, now):
-            found.append(action)
+            actions.append(action)
             if isinstance(action, interface.Send) and action.request % 10 == 0:
-                found.append(action)
-        return found
+                actions.append(action)
+        return actions
 
 
 class IgnoresDrains(Balancer):
-    """Takes every node that the list still names for ready."""
+    """Treats every node in the list as ready, also when it drains."""
 
     def handle(self, event: interface.Event, now: float) -> list[interface.Action]:
         if isinstance(event, interface.ListUpdate):
@@ -80,7 +83,7 @@
 
 
 class FloodsTheCold(Balancer):
-    """Takes a node that has just started for the best of all."""
+    """Prefers a node that started during the run to all others, and ignores all its limits."""
 
     def __init__(self, settings: interface.Settings, seed: int) -> None:
         super().__init__(settings, seed)
