--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -1,4 +1,4 @@
-"""A roll of the nodes while discovery moves for all balancers at once, and can't answer all of them in time."""
+"""A rolling restart of the nodes while discovery moves for all balancers and can't answer all calls in time."""
 
 from __future__ import annotations
 
@@ -27,24 +27,27 @@
 from tests.rehearsal.nights import FRAME, SUBMIT
 
 
-def roll(
+def rolling_restart(
     balancers: int,
     calls_per_s: float,
-    *more: Event,
-    within_s: float = 2.0,
+    *more_events: Event,
+    move_within_s: float = 2.0,
     ask_within_ms: float = 10_000,
     length_s: float = 14.0,
     mode: Literal["ask", "push"] = "ask",
     latency_ms: float = 0.3,
 ) -> Script:
-    """All are moved within so many seconds; a twelfth of the nodes leaves every second and a half, some for good."""
+    """Return a scenario in which discovery moves for all balancers within `move_within_s` seconds.
+
+    A twelfth of the nodes drains every 1.5 s and returns after 3.8 s; the last do not return before the end.
+    """
     kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
     events: list[Event] = [
-        Reload(at_s=3.0 + within_s * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)
+        Reload(at_s=3.0 + move_within_s * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)
     ]
     for i in range(6):
-        leaving = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
-        events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=leaving, back_s=0.5))
+        draining = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
+        events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=draining, back_s=0.5))
     return Script(
         version=1,
         title="A roll with a move",
@@ -55,50 +58,53 @@
         clients=Clients(rate_per_s=4 * balancers, processes=max(balancers // 2, 4)),
         classes=(FRAME, SUBMIT),
         tiers=(Tier(name="render", kinds=kinds, balancers=balancers),),
-        events=(*events, *more),
+        events=(*events, *more_events),
     )
 
 
-def broken(night: Run) -> list[str]:
-    assert night.faults == []
-    return [b.text for b in night.violations]
+def violation_texts(run: Run) -> list[str]:
+    assert run.faults == []
+    return [b.text for b in run.violations]
 
 
-def test_nothing_is_sent_to_nodes_whose_leaving_was_told() -> None:
-    assert broken(play(roll(100, 12.5, latency_ms=5.0), seed=1)) == []
+def test_nothing_is_sent_to_nodes_after_the_balancer_was_notified_of_their_drain() -> None:
+    assert violation_texts(play(rolling_restart(100, 12.5, latency_ms=5.0), seed=1)) == []
 
 
-def test_the_night_shows_calls_that_are_given_up_when_discovery_answers(
+def test_the_scenario_detects_calls_that_time_out_just_as_discovery_answers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(discovery, "ANSWER_S", 2.0)  # discovery's own bound on a call that waits for its turn
+    # 2 s is the registry's own limit for a call that waits for its turn.
+    monkeypatch.setattr(discovery, "ANSWER_S", 2.0)
     monkeypatch.setattr(discovery, "SPARE_S", 0.0)
-    found = broken(play(roll(100, 12.5, latency_ms=5.0), seed=1))
-    assert found and all("after it was told of its drain" in text for text in found)
-
-
-HARD = {
-    "all moved at one moment": roll(40, 5.0, within_s=0.0),
-    "moved twice": roll(30, 8.0, *(Reload(at_s=4.0 + 0.05 * i, balancer=f"b{i + 1}") for i in range(30))),
-    "called every few seconds": roll(40, 6.0, ask_within_ms=3_000, length_s=12.0),
-    "no list at the start": roll(30, 8.0, ListDown(at_s=0.0, for_s=3.0)),
-    "no list amid the roll": roll(30, 8.0, ListDown(at_s=4.5, for_s=3.0)),
-    "no list to the end": roll(30, 8.0, ListDown(at_s=9.0, for_s=4.0)),
-    "balancers that stand still": roll(
+    texts = violation_texts(play(rolling_restart(100, 12.5, latency_ms=5.0), seed=1))
+    assert texts and all("after it was told of its drain" in text for text in texts)
+
+
+HARD_CASES = {
+    "all moved at one moment": rolling_restart(40, 5.0, move_within_s=0.0),
+    "moved twice": rolling_restart(
+        30, 8.0, *(Reload(at_s=4.0 + 0.05 * i, balancer=f"b{i + 1}") for i in range(30))
+    ),
+    "polled every few seconds": rolling_restart(40, 6.0, ask_within_ms=3_000, length_s=12.0),
+    "registry unreachable at the start": rolling_restart(30, 8.0, ListDown(at_s=0.0, for_s=3.0)),
+    "registry unreachable during the restart": rolling_restart(30, 8.0, ListDown(at_s=4.5, for_s=3.0)),
+    "registry unreachable until the end": rolling_restart(30, 8.0, ListDown(at_s=9.0, for_s=4.0)),
+    "paused balancers": rolling_restart(
         30,
         8.0,
         Pause(at_s=4.2, for_s=2.0, nodes=("b1", "b2", "b3")),
         Pause(at_s=7.0, for_s=2.0, nodes=("b4",)),
     ),
-    "balancers restarted meanwhile": roll(
+    "balancers restarted at the same time": rolling_restart(
         30, 8.0, *(Stop(at_s=3.5 + 0.5 * i, balancer=f"b{i + 1}", back_s=0.3) for i in range(12))
     ),
-    "pushed, by an agent that falls silent": roll(
+    "pushed by an agent that stops responding": rolling_restart(
         10, 50.0, ListDown(at_s=4.0, for_s=3.0), mode="push", length_s=10.0
     ),
 }
 
 
-@pytest.mark.parametrize("night", HARD.values(), ids=HARD.keys())
-def test_drains_are_kept_through(night: Script) -> None:
-    assert broken(play(night, seed=2)) == []
+@pytest.mark.parametrize("scenario", HARD_CASES.values(), ids=HARD_CASES.keys())
+def test_drains_are_kept(scenario: Script) -> None:
+    assert violation_texts(play(scenario, seed=2)) == []
