--- a/tests/rehearsal/test_pushed_list.py
+++ b/tests/rehearsal/test_pushed_list.py
@@ -7,8 +7,8 @@
 has counts as told".
 
 An agent answers at once and does not support long polls, so a polling balancer can't know of the drain; polling more
-often than every 0.05 s only makes the case rarer. For all other pushed changes the simulator counts a balancer as
-notified only after the agent has had the change for 0.25 s. Which of the two rules the operators want is open.
+often than every 0.05 s only makes the case rarer. Elsewhere the simulator counts a balancer as notified of a pushed
+change only after the agent has had it for 0.25 s. Which of the two rules the operators want is open.
 """
 
 from __future__ import annotations
