--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -1,4 +1,4 @@
-"""Whole nights: the same seed gives the same bytes, rules hold, and a broken balancer is caught."""
+"""Runs of whole scenarios: one seed always gives the same bytes, the rules hold, and a faulty balancer is detected."""
 
 from __future__ import annotations
 
@@ -25,37 +25,37 @@
 from tests.rehearsal.nights import MIXED_FAULTS, run_with_decisions, small_scenario
 
 ROOT = Path(__file__).parent.parent.parent
-SHIPPED = sorted((ROOT / "rehearsals").glob("*.toml"))
+SHIPPED_SCENARIOS = sorted((ROOT / "rehearsals").glob("*.toml"))
 
-DECIDE = """
+PRINT_DECISIONS = """
 import sys
 from passpost.rehearsal.script import load
 from passpost.rehearsal.virtual import play
-night = play(load(sys.argv[1]), int(sys.argv[2]), lambda line: print(line))
+run = play(load(sys.argv[1]), int(sys.argv[2]), lambda line: print(line))
 """
 
 
-def rules(night: Any) -> set[str]:
-    return {b.rule for b in night.violations}
+def broken_rules(run: Any) -> set[str]:
+    return {b.rule for b in run.violations}
 
 
-def test_a_calm_night_serves_all_through_two_tiers() -> None:
-    night = play(small_scenario(tiers=2), 1)
-    figures = summarize(night)
-    assert night.is_good(), (night.faults, night.violations)
-    assert figures.whole.served == 1.0 and figures.whole.requests > 150
-    assert figures.attempts_each == 2.0  # one at each tier
-    assert sum(sum(c.values()) for c in by_second(night)) == figures.whole.requests
+def test_a_scenario_without_failures_serves_all_requests_through_two_tiers() -> None:
+    run = play(small_scenario(tiers=2), 1)
+    summary = summarize(run)
+    assert run.is_good(), (run.faults, run.violations)
+    assert summary.whole.served == 1.0 and summary.whole.requests > 150
+    assert summary.attempts_each == 2.0  # one attempt at each tier
+    assert sum(sum(c.values()) for c in by_second(run)) == summary.whole.requests
 
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
-    path = tmp_path / "night.toml"
+    path = tmp_path / "scenario.toml"
     path.write_text(dump(small_scenario(*MIXED_FAULTS, tiers=1, clients=Clients(rate_per_s=250))))
 
-    def lines(seed: int, hashing: str) -> bytes:
+    def lines(seed: int, hash_seed: str) -> bytes:
         done = subprocess.run(
-            [sys.executable, "-c", DECIDE, str(path), str(seed)],
-            env=os.environ | {"PYTHONHASHSEED": hashing},
+            [sys.executable, "-c", PRINT_DECISIONS, str(path), str(seed)],
+            env=os.environ | {"PYTHONHASHSEED": hash_seed},
             cwd=ROOT,
             capture_output=True,
             check=True,
@@ -68,63 +68,64 @@
     assert first != lines(6, "1")
 
 
-@pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
-def test_shipped_nights_keep_the_rules(path: Path) -> None:
-    night = load(str(path))
-    light = msgspec.structs.replace(
-        night, clients=msgspec.structs.replace(night.clients, rate_per_s=night.clients.rate_per_s / 4)
+@pytest.mark.parametrize("path", SHIPPED_SCENARIOS, ids=lambda p: p.stem)
+def test_shipped_scenarios_keep_the_rules(path: Path) -> None:
+    scenario = load(str(path))
+    reduced_load = msgspec.structs.replace(
+        scenario,
+        clients=msgspec.structs.replace(scenario.clients, rate_per_s=scenario.clients.rate_per_s / 4),
     )
-    played = play(light, night.seed)
-    assert played.is_good(), (played.faults, played.violations)
-    assert summarize(played).whole.served > 0.5
+    run = play(reduced_load, scenario.seed)
+    assert run.is_good(), (run.faults, run.violations)
+    assert summarize(run).whole.served > 0.5
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "rehearsals" / "found").glob("*.toml")), ids=lambda p: p.stem)
-def test_nights_that_once_broke_a_rule_keep_it_now(path: Path) -> None:
-    night = load(str(path))
-    played = play(night, night.seed)
-    assert played.is_good(), (played.faults, played.violations)
+def test_scenarios_that_once_broke_a_rule_keep_all_rules(path: Path) -> None:
+    scenario = load(str(path))
+    run = play(scenario, scenario.seed)
+    assert run.is_good(), (run.faults, run.violations)
 
 
-def test_there_are_ten_bad_nights_and_each_kind_of_failure_is_in_one() -> None:
-    bad = [load(str(p)) for p in SHIPPED if load(str(p)).events]
-    assert len(bad) >= 10
-    seen = {type(event) for night in bad for event in night.events}
-    assert seen >= {
+def test_at_least_ten_shipped_scenarios_have_failures_and_cover_every_kind() -> None:
+    with_failures = [load(str(p)) for p in SHIPPED_SCENARIOS if load(str(p)).events]
+    assert len(with_failures) >= 10
+    event_types = {type(event) for scenario in with_failures for event in scenario.events}
+    assert event_types >= {
         *(model.Slow, model.Silent, model.Hang, model.Pause, model.Reset, model.Spoil, model.Crash),
         *(model.Drain, model.ListDown, model.SharedSlow, model.Partition, model.Delay),
         *(model.Stop, model.Reload, model.Kill, model.Rush),
     }
 
 
-# ---- balancers broken on purpose: each must be caught, with the rule named
+# ---- faulty balancers: each has to be detected under the right rule
 
 
-def test_one_that_sends_twice_is_caught() -> None:
-    night, _ = run_with_decisions(small_scenario(), 1, nights.ServesTwice)
-    assert "twice" in rules(night)
-    story = next(b for b in night.violations if b.rule == "twice").story
-    assert any("invoice, unsafe" in line for line in story)
-    assert sum("attempt" in line for line in story) >= 2
+def test_a_balancer_that_sends_twice_is_detected() -> None:
+    run, _ = run_with_decisions(small_scenario(), 1, nights.ServesTwice)
+    assert "twice" in broken_rules(run)
+    timeline = next(b for b in run.violations if b.rule == "twice").story
+    assert any("invoice, unsafe" in line for line in timeline)
+    assert sum("attempt" in line for line in timeline) >= 2
 
 
-def test_one_that_sends_after_a_drain_is_caught() -> None:
+def test_a_balancer_that_sends_after_a_drain_is_detected() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
     assert play(small_scenario(drain), 1).is_good()
-    night, _ = run_with_decisions(small_scenario(drain), 1, nights.IgnoresDrains)
-    assert rules(night) == {"drain"}
-    assert "render-plain-1" in night.violations[0].text
+    run, _ = run_with_decisions(small_scenario(drain), 1, nights.IgnoresDrains)
+    assert broken_rules(run) == {"drain"}
+    assert "render-plain-1" in run.violations[0].text
 
 
-def test_one_that_floods_a_cold_node_is_caught() -> None:
+def test_a_balancer_that_overloads_a_cold_node_is_detected() -> None:
     crash = model.Crash(at_s=0.5, for_s=0.5, nodes=("render-plain-1",))
-    busy = small_scenario(crash, clients=Clients(rate_per_s=120))
-    assert play(busy, 1).is_good()
-    night, _ = run_with_decisions(busy, 1, nights.FloodsTheCold)
-    assert rules(night) == {"cold"}
+    scenario = small_scenario(crash, clients=Clients(rate_per_s=120))
+    assert play(scenario, 1).is_good()
+    run, _ = run_with_decisions(scenario, 1, nights.FloodsTheCold)
+    assert broken_rules(run) == {"cold"}
 
 
-def test_one_that_drops_a_request_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_balancer_that_drops_a_request_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     finish, count = connection.Connection._finish, 0
 
     def drop(self: Any, status: int, *more: Any) -> None:
@@ -137,67 +138,67 @@
             finish(self, status, *more)
 
     monkeypatch.setattr(connection.Connection, "_finish", drop)
-    night = play(small_scenario(), 1)
-    assert rules(night) == {"lost"}
-    assert "closed with no whole answer" in night.violations[0].text
+    run = play(small_scenario(), 1)
+    assert broken_rules(run) == {"lost"}
+    assert "closed with no whole answer" in run.violations[0].text
 
 
-def test_one_that_makes_up_answers_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_balancer_that_invents_answers_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     serve = connection.Connection.serve
 
-    def other(self: Any, answer: Any) -> None:
+    def invent_body(self: Any, answer: Any) -> None:
         serve(self, type(answer)(200, answer.headers, b"made up", answer.reusable))
 
-    monkeypatch.setattr(connection.Connection, "serve", other)
-    assert rules(play(small_scenario(), 1)) == {"lost"}
+    monkeypatch.setattr(connection.Connection, "serve", invent_body)
+    assert broken_rules(play(small_scenario(), 1)) == {"lost"}
 
 
-def test_a_crash_of_the_program_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_uncaught_error_of_the_program_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(self: Any, *_: Any) -> None:
         raise ZeroDivisionError("on purpose")
 
     monkeypatch.setattr(connection.Connection, "_take", fail)
-    night = play(small_scenario(), 1)
-    assert any("on purpose" in fault for fault in night.faults) and not night.is_good()
+    run = play(small_scenario(), 1)
+    assert any("on purpose" in fault for fault in run.faults) and not run.is_good()
 
 
-# ---- hard cases
+# ---- edge cases
 
 
-def test_bytes_split_anywhere_change_no_outcome() -> None:
-    night = play(small_scenario(network=Network(split=1.0)), 2)
-    assert night.is_good() and summarize(night).whole.served == 1.0
+def test_splitting_the_byte_stream_anywhere_changes_no_outcome() -> None:
+    run = play(small_scenario(network=Network(split=1.0)), 2)
+    assert run.is_good() and summarize(run).whole.served == 1.0
 
 
-def test_a_node_that_returns_under_its_name_meets_attempts_that_are_out() -> None:
+def test_a_node_may_restart_under_its_old_name_while_attempts_are_open() -> None:
     crashes = tuple(
         model.Crash(at_s=0.5 + i, for_s=0.05, nodes=("render-*",), count=1, back_as="same") for i in range(4)
     )
-    night = play(small_scenario(*crashes, clients=Clients(rate_per_s=120)), 3)
-    assert night.is_good(), (night.faults, night.violations)
+    run = play(small_scenario(*crashes, clients=Clients(rate_per_s=120)), 3)
+    assert run.is_good(), (run.faults, run.violations)
 
 
-def test_a_wall_clock_that_is_set_back_changes_no_promise() -> None:
+def test_setting_the_wall_clock_breaks_no_rule() -> None:
     steps = tuple(
         model.Clock(at_s=at, balancer="b1", by_s=by) for at, by in ((0.5, -5_000.0), (2.0, 9_000.0))
     )
-    night = play(small_scenario(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
-    assert night.is_good(), (night.faults, night.violations)
-    assert summarize(night).whole.served == 1.0
+    run = play(small_scenario(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
+    assert run.is_good(), (run.faults, run.violations)
+    assert summarize(run).whole.served == 1.0
 
 
-def test_a_restart_lets_callers_go_before_the_kill_however_long_their_deadlines_are() -> None:
-    # Of the longest deadline the platform waits 3 s at most: a drain that reckons with 8 s never came to its end.
-    patient = (msgspec.structs.replace(nights.FRAME, deadline_ms=8_000), nights.SUBMIT)
-    night = play(
-        small_scenario(model.Stop(at_s=1.0, balancer="b1", back_s=0.1), length_s=7.0, classes=patient), 1
+def test_a_restart_finishes_before_sigkill_even_with_deadlines_longer_than_the_drain() -> None:
+    # The platform counts at most 3 s of the longest deadline before SIGKILL; a drain planned for 8 s never finished.
+    classes = (msgspec.structs.replace(nights.FRAME, deadline_ms=8_000), nights.SUBMIT)
+    run = play(
+        small_scenario(model.Stop(at_s=1.0, balancer="b1", back_s=0.1), length_s=7.0, classes=classes), 1
     )
-    assert night.is_good(), (night.faults, night.violations)
-    assert not any("killed" in said for _, said in night.log), night.log
+    assert run.is_good(), (run.faults, run.violations)
+    assert not any("killed" in text for _, text in run.log), run.log
 
 
-def test_the_list_may_be_pushed() -> None:
-    night = play(
+def test_the_rules_hold_with_a_pushed_list() -> None:
+    run = play(
         small_scenario(
             model.ListDown(at_s=1.0, for_s=1.5),
             model.Drain(at_s=1.2, for_s=1.0, nodes=("render-fast-1",), back_s=0.5),
@@ -205,45 +206,45 @@
         ),
         1,
     )
-    assert night.is_good(), (night.faults, night.violations)
-    assert summarize(night).whole.served > 0.9
+    assert run.is_good(), (run.faults, run.violations)
+    assert summarize(run).whole.served > 0.9
 
 
-def test_a_fleet_that_is_gone_refuses_and_ends() -> None:
-    gone = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
-    night = play(small_scenario(gone), 1)
-    assert night.is_good(), (night.faults, night.violations)
-    assert 0 < summarize(night).whole.served < 0.5
+def test_a_run_ends_when_all_nodes_have_crashed() -> None:
+    crash = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
+    run = play(small_scenario(crash), 1)
+    assert run.is_good(), (run.faults, run.violations)
+    assert 0 < summarize(run).whole.served < 0.5
 
 
-def test_balancers_that_never_get_ready_end_the_night(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_balancers_that_never_become_ready_end_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener.Server, "is_ready", lambda self: False)
-    night = play(small_scenario(), 1)
-    assert night.faults == ["the balancers did not get ready"]
+    run = play(small_scenario(), 1)
+    assert run.faults == ["the balancers did not get ready"]
 
 
-def test_refused_clients_are_told_when_to_return_and_some_keep_to_it() -> None:
-    rush = small_scenario(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
-    night = play(msgspec.structs.replace(rush, length_s=2.0), 1)
-    assert night.is_good(), (night.faults, night.violations)
-    assert summarize(night).whole.refused > 0
+def test_the_rules_hold_when_clients_honour_retry_after_of_refusals() -> None:
+    overload = small_scenario(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
+    run = play(msgspec.structs.replace(overload, length_s=2.0), 1)
+    assert run.is_good(), (run.faults, run.violations)
+    assert summarize(run).whole.refused > 0
 
 
 # ---- exploring
 
 
-def test_exploring_finds_a_broken_balancer_and_shrinks_the_night() -> None:
+def test_exploring_detects_a_faulty_balancer_and_shrinks_the_scenario() -> None:
     base = small_scenario(model.Slow(at_s=1.0, for_s=1.0, nodes=("render-plain-2",)))
     base = msgspec.structs.replace(
         base, events=(*base.events, model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",)))
     )
-    found, played = exploring.explore(base, range(1, 4), 1, 2, module=nights.IgnoresDrains)
-    assert found is not None and played == 1
+    found, run_count = exploring.explore(base, range(1, 4), 1, 2, module=nights.IgnoresDrains)
+    assert found is not None and run_count == 1
     assert found.what.startswith("drain: ")
     assert [type(e) for e in found.script.events] == [model.Drain] and found.drawn >= 3
-    again = parse(dump(found.script), "found.toml")
-    assert rules(play(again, again.seed, module=nights.IgnoresDrains)) == {"drain"}
-    assert play(again, again.seed).is_good()
+    minimal = parse(dump(found.script), "found.toml")
+    assert broken_rules(play(minimal, minimal.seed, module=nights.IgnoresDrains)) == {"drain"}
+    assert play(minimal, minimal.seed).is_good()
 
 
 def test_exploring_gives_the_same_result_with_any_number_of_processes() -> None:
@@ -256,28 +257,27 @@
 # ---- the report
 
 
-def test_the_report_needs_nothing_else_and_shows_what_happened() -> None:
+def test_the_report_has_no_external_resources_and_shows_events_and_violations() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
-    night, _ = run_with_decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
-    page = write(night)
+    run, _ = run_with_decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
+    page = write(run)
     assert not re.search(r"(src|href)=|https?://|@import|url\(", page)
     assert "Fish &amp; &lt;chips&gt;" in page and "<chips>" not in page
     assert page.count("<svg") == 2 and "render-plain-1 drains" in page
     assert "drains are kept" in page and "after it was told of its drain" in page
 
 
-def test_the_report_of_a_calm_night_says_so() -> None:
+def test_the_report_states_that_a_run_had_no_failures() -> None:
     page = write(play(small_scenario(), 1))
     assert "all four rules kept" in page and "a calm night" in page
 
 
-def test_nothing_is_sent_for_clients_that_left_while_a_balancer_stood_still(
+def test_nothing_is_sent_for_clients_that_left_while_a_balancer_was_paused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    night = load(str(ROOT / "rehearsals" / "impatient.toml"))
-    played = play(night, 2)
-    assert played.left_waiting > 10 and played.sent_after == 0
-    monkeypatch.setattr(
-        Connection, "has_left", lambda self: False
-    )  # the request is read before the end behind it
-    assert play(night, 2).sent_after > 0
+    scenario = load(str(ROOT / "rehearsals" / "impatient.toml"))
+    run = play(scenario, 2)
+    assert run.left_waiting > 10 and run.sent_after == 0
+    # Without this check the request is read before the end of the stream that follows it.
+    monkeypatch.setattr(Connection, "has_left", lambda self: False)
+    assert play(scenario, 2).sent_after > 0
