--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -1,4 +1,4 @@
-"""Nights in which the first tier's balancers are sidecars with an operator's file."""
+"""Scenarios in which the balancers of the first tier are sidecars with an operator's file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from tests.rehearsal import nights
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").glob("*/rehearsal.toml"))
-# For a file that says nothing of its servers' starts, nodes are warm at once: faults of every other kind.
+# A file that sets no cold start makes nodes warm at once; these are faults of every other kind.
 FAULTS: tuple[model.Event, ...] = (
     model.Slow(at_s=0.5, for_s=1.0, nodes=("render-plain-1",), factor=5.0),
     model.Reset(at_s=0.6, for_s=1.0, nodes=("render-plain-2",), share=0.5),
@@ -36,18 +36,18 @@
 )
 
 
-def good(text: str = GOOD) -> File:
+def parsed_file(text: str = GOOD) -> File:
     file = parse(text, "f.toml").file
     assert file is not None
     return file
 
 
-def script(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Script:
-    """A short night of the file's first application, all its classes alike."""
+def sidecar_scenario(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Script:
+    """Return a short scenario of the file's first application, with the same load for each of its classes."""
     application = file.applications[0]
     kinds = (Kind(name="plain", count=4),)
-    first = Tier(name="render", kinds=kinds, balancers=min(application.balancers, 2))
-    last = Tier(name="store", kinds=kinds, part=0.5)
+    first_tier = Tier(name="render", kinds=kinds, balancers=min(application.balancers, 2))
+    last_tier = Tier(name="store", kinds=kinds, part=0.5)
     base: dict[str, Any] = {
         "version": 1,
         "title": "A short night of a sidecar",
@@ -55,50 +55,52 @@
         "sidecar": model.Sidecar(file="nowhere.toml", application=application.name),
         "clients": Clients(rate_per_s=40, try_share=1.0),
         "classes": tuple(Class(name=c.name, work_ms=15) for c in application.classes),
-        "tiers": (first,) if tiers == 1 else (msgspec.structs.replace(first, part=0.5), last),
+        "tiers": (first_tier,) if tiers == 1 else (msgspec.structs.replace(first_tier, part=0.5), last_tier),
         "events": events,
     }
     return Script(**(base | changes))
 
 
-def test_a_file_s_classes_keys_and_tenants_come_through() -> None:
-    file = good()
-    played = play(
-        script(file, tenants=(model.Tenant(name="harbour"), model.Tenant(name="castle"))), 1, file=file
+def test_a_files_classes_keys_and_tenants_reach_the_servers() -> None:
+    file = parsed_file()
+    run = play(
+        sidecar_scenario(file, tenants=(model.Tenant(name="harbour"), model.Tenant(name="castle"))),
+        1,
+        file=file,
     )
-    assert played.is_good(), (played.faults, played.violations)
-    figures = summarize(played)
-    assert figures.whole.served == 1.0 and {line.name for line in figures.by_class} == {
+    assert run.is_good(), (run.faults, run.violations)
+    summary = summarize(run)
+    assert summary.whole.served == 1.0 and {line.name for line in summary.by_class} == {
         "submit",
         "frame",
         "pay",
     }
-    assert played.scenario.classes[0].window_ms == 3_000 and played.scenario.contract.attempts == 3
+    assert run.scenario.classes[0].window_ms == 3_000 and run.scenario.contract.attempts == 3
 
 
-def test_a_second_tier_behind_a_sidecar_speaks_the_platform_s_form() -> None:
-    file = good()
-    played = play(script(file, *FAULTS, tiers=2), 3, file=file)
-    assert played.is_good(), (played.faults, played.violations)
-    assert played.attempts > 1.5 * len(played.requests)
+def test_a_second_tier_behind_a_sidecar_uses_the_platforms_request_format() -> None:
+    file = parsed_file()
+    run = play(sidecar_scenario(file, *FAULTS, tiers=2), 3, file=file)
+    assert run.is_good(), (run.faults, run.violations)
+    assert run.attempts > 1.5 * len(run.requests)
 
 
-def test_reloads_under_load_lose_nothing() -> None:
-    file = good()
+def test_reloads_under_load_lose_no_request() -> None:
+    file = parsed_file()
     reloads = [model.Reload(at_s=0.2 * i, balancer="b1") for i in range(1, 12)]
-    played = play(script(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
-    assert played.is_good(), (played.faults, played.violations)
-    assert len(played.requests) > 150 and summarize(played).whole.served == 1.0
-    assert Counter(text for _, text in played.log)["b1: discovery moves, SIGHUP"] == 11
+    run = play(sidecar_scenario(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
+    assert run.is_good(), (run.faults, run.violations)
+    assert len(run.requests) > 150 and summarize(run).whole.served == 1.0
+    assert Counter(text for _, text in run.log)["b1: discovery moves, SIGHUP"] == 11
 
 
 def test_the_same_seed_gives_the_same_decisions() -> None:
-    file, first, second, other = good(), list[str](), list[str](), list[str]()
-    night = script(file, *FAULTS)
-    play(night, 4, first.append, file=file)
-    play(night, 4, second.append, file=file)
-    play(night, 5, other.append, file=file)
-    assert len(first) > 80 and first == second != other
+    file, first_lines, second_lines, other_seed_lines = parsed_file(), list[str](), list[str](), list[str]()
+    scenario = sidecar_scenario(file, *FAULTS)
+    play(scenario, 4, first_lines.append, file=file)
+    play(scenario, 4, second_lines.append, file=file)
+    play(scenario, 5, other_seed_lines.append, file=file)
+    assert len(first_lines) > 80 and first_lines == second_lines != other_seed_lines
 
 
 @pytest.mark.parametrize(
@@ -108,28 +110,28 @@
         (nights.IgnoresDrains, (model.Drain(at_s=0.3, for_s=2.0, nodes=("render-plain-*",)),), "drain"),
     ],
 )
-def test_a_broken_module_in_a_sidecar_is_caught(module: Any, event: Any, rule: str) -> None:
-    file = good()
-    played = play(script(file, *event), 1, module=module, file=file)
-    assert rule in {b.rule for b in played.violations}
+def test_a_faulty_decision_module_in_a_sidecar_is_detected(module: Any, event: Any, rule: str) -> None:
+    file = parsed_file()
+    run = play(sidecar_scenario(file, *event), 1, module=module, file=file)
+    assert rule in {b.rule for b in run.violations}
 
 
 @pytest.mark.parametrize("path", EXAMPLES, ids=lambda p: p.parent.name)
-def test_an_example_s_rehearsal_keeps_the_rules(path: Path) -> None:
-    night = load(str(path))
-    played = play(night, night.seed)
-    assert played.is_good(), (played.faults, played.violations)
-    assert summarize(played).whole.served > 0.9
-    assert "b1: discovery moves, SIGHUP" in {text for _, text in played.log}
-    assert parse_script(dump(night), "elsewhere/copy.toml") == night  # its file is found from anywhere
+def test_the_scenario_of_each_example_keeps_the_rules(path: Path) -> None:
+    scenario = load(str(path))
+    run = play(scenario, scenario.seed)
+    assert run.is_good(), (run.faults, run.violations)
+    assert summarize(run).whole.served > 0.9
+    assert "b1: discovery moves, SIGHUP" in {text for _, text in run.log}
+    assert parse_script(dump(scenario), "elsewhere/copy.toml") == scenario  # the path of its file is absolute
 
 
-def test_there_is_a_rehearsal_for_each_example() -> None:
+def test_each_example_has_a_scenario() -> None:
     folder = Path(__file__).parent.parent.parent / "examples"
     assert {p.parent.name for p in EXAMPLES} == {p.name for p in folder.iterdir()} and len(EXAMPLES) >= 3
 
 
-def test_a_live_night_runs_the_command_itself(tmp_path: Path) -> None:
+def test_a_live_run_starts_the_command_itself(tmp_path: Path) -> None:
     (tmp_path / "f.toml").write_text(
         broken(
             ("deadline_ms = 3000\naim_ms = 1200\nattempt_ms = 1000", "deadline_ms = 40000"),
@@ -139,8 +141,8 @@
     )
     (tmp_path / "night.toml").write_text(
         dump(
-            script(
-                good(),
+            sidecar_scenario(
+                parsed_file(),
                 model.Reload(at_s=0.4, balancer="b1"),
                 classes=(Class(name="frame", work_ms=5),),
                 sidecar=model.Sidecar(file="f.toml", application="render"),
@@ -148,9 +150,9 @@
             )
         )
     )
-    played = live.play(load(str(tmp_path / "night.toml")), 1)
-    assert played.faults == [] and summarize(played).whole.served > 0
-    assert played.attempts >= summarize(played).whole.requests > 10
+    run = live.play(load(str(tmp_path / "night.toml")), 1)
+    assert run.faults == [] and summarize(run).whole.served > 0
+    assert run.attempts >= summarize(run).whole.requests > 10
 
 
 @pytest.mark.parametrize(
@@ -173,15 +175,17 @@
         ),
     ],
 )
-def test_a_script_that_does_not_fit_its_file_is_refused(tmp_path: Path, change: Any, reason: str) -> None:
+def test_a_scenario_that_contradicts_its_file_is_rejected(tmp_path: Path, change: Any, reason: str) -> None:
     (tmp_path / "f.toml").write_text(GOOD)
-    night = tmp_path / "night.toml"
-    fits = script(good(), sidecar=model.Sidecar(file="f.toml", application="render"))
-    night.write_text(dump(fits))
-    assert load(str(night)).classes == fits.classes
-    night.write_text(dump(msgspec.structs.replace(fits, **change)))
+    scenario_path = tmp_path / "night.toml"
+    valid_scenario = sidecar_scenario(
+        parsed_file(), sidecar=model.Sidecar(file="f.toml", application="render")
+    )
+    scenario_path.write_text(dump(valid_scenario))
+    assert load(str(scenario_path)).classes == valid_scenario.classes
+    scenario_path.write_text(dump(msgspec.structs.replace(valid_scenario, **change)))
     with pytest.raises(ScriptError, match=reason):
-        load(str(night))
+        load(str(scenario_path))
 
 
 @pytest.mark.parametrize(
@@ -191,17 +195,21 @@
         ((("version = 1", "version = 7"),), "sidecar.file: .*f.toml:1: version: 7 is not allowed"),
     ],
 )
-def test_a_file_that_can_not_be_rehearsed_is_named(tmp_path: Path, edits: Any, reason: str) -> None:
+def test_the_error_for_a_file_that_cannot_be_simulated_names_the_reason(
+    tmp_path: Path, edits: Any, reason: str
+) -> None:
     (tmp_path / "f.toml").write_text(broken(*edits))
     with pytest.raises(MismatchError, match=reason):
-        carried.merge_operator_file(script(good()), carried.read_operator_file(str(tmp_path / "f.toml")))
+        carried.merge_operator_file(
+            sidecar_scenario(parsed_file()), carried.read_operator_file(str(tmp_path / "f.toml"))
+        )
 
 
 # ---- random edits
 
 
-VALUE = re.compile(r"^(\w[\w-]*) = (.*)$")
-CHOICES = (
+KEY_VALUE_LINE = re.compile(r"^(\w[\w-]*) = (.*)$")
+OTHER_VALUES = (
     "safe",
     "keyed",
     "unsafe",
@@ -214,7 +222,7 @@
     "X-Request-Id",
     "Idempotency-Key",
 )
-MORE = (
+OTHER_LINES = (
     "copies = true", "balancers = 3", "retry_after_ms = 0", "idle_s = 0.2", "connect_ms = 5", "worth = 0",
     "attempts = 1", "attempt_ms = 20", "late_share = 1", "deadline_ms = 40", "serve_s = 0", "body_kb = 1",
     "effect = \"keyed\"", "tenant = \"\"", "descriptors = 64", "connections = 3", "upstream_connections = 2",
@@ -222,38 +230,44 @@
 )  # fmt: skip
 
 
-def edited(chance: random.Random) -> str:
-    """The good file after one to four edits of the kinds that people make."""
+def randomly_edited_file(rng: random.Random) -> str:
+    """Return GOOD after one to three random edits of kinds that people make."""
     lines = GOOD.splitlines()
-    for _ in range(chance.randint(1, 3)):
-        kind = chance.choice(["number", "number", "choice", "more", "drop", "twice", "swap"])
-        i = chance.randrange(len(lines))
-        if kind in ("number", "choice"):  # of a line that has such a value
-            i = chance.choice(
-                [n for n, x in enumerate(lines) if ('"' in x) == (kind == "choice") and VALUE.match(x)]
+    for _ in range(rng.randint(1, 3)):
+        kind = rng.choice(["number", "number", "choice", "more", "drop", "twice", "swap"])
+        i = rng.randrange(len(lines))
+        if kind in ("number", "choice"):  # choose a line that has such a value
+            i = rng.choice(
+                [
+                    n
+                    for n, x in enumerate(lines)
+                    if ('"' in x) == (kind == "choice") and KEY_VALUE_LINE.match(x)
+                ]
+            )
+        match = KEY_VALUE_LINE.match(lines[i])
+        if kind == "number" and match and re.fullmatch(r"[\d.]+", match[2]):
+            value = float(match[2]) * rng.choice([0, -1, 0.01, 0.1, 0.5, 0.9, 1.1, 2, 10, 100, 1e6])
+            lines[i] = f"{match[1]} = {int(value) if '.' not in match[2] else value}"
+        elif kind == "choice" and match and '"' in match[2]:
+            new_value = rng.choice(OTHER_VALUES)
+            lines[i] = (
+                f'{match[1]} = ["{new_value}"]' if match[2].startswith("[") else f'{match[1]} = "{new_value}"'
             )
-        found = VALUE.match(lines[i])
-        if kind == "number" and found and re.fullmatch(r"[\d.]+", found[2]):
-            value = float(found[2]) * chance.choice([0, -1, 0.01, 0.1, 0.5, 0.9, 1.1, 2, 10, 100, 1e6])
-            lines[i] = f"{found[1]} = {int(value) if '.' not in found[2] else value}"
-        elif kind == "choice" and found and '"' in found[2]:
-            word = chance.choice(CHOICES)
-            lines[i] = f'{found[1]} = ["{word}"]' if found[2].startswith("[") else f'{found[1]} = "{word}"'
         elif kind == "more":
-            lines.insert(i + 1, chance.choice(MORE))
+            lines.insert(i + 1, rng.choice(OTHER_LINES))
         elif kind == "drop":
             del lines[i]
         elif kind == "twice":
             lines.insert(i, lines[i])
         elif kind == "swap":
-            j = chance.randrange(len(lines))
+            j = rng.randrange(len(lines))
             lines[i], lines[j] = lines[j], lines[i]
     return "\n".join(lines) + "\n"
 
 
-def outcome(seed: int) -> str:
-    """What came of a file with random edits: refused, unfit for a rehearsal, or played; a broken rule raises."""
-    text = edited(random.Random(f"edits {seed}"))
+def run_randomly_edited_file(seed: int) -> str:
+    """Run a randomly edited file; return "unreadable", "refused", "unfit" or "played". A violation raises."""
+    text = randomly_edited_file(random.Random(f"edits {seed}"))
     try:
         reading = parse(text, "f.toml")
     except UnreadableError:
@@ -261,16 +275,16 @@
     file = reading.file
     if file is None or any(not p.warning for p in reading.with_meaning(check(file))):
         return "refused"
-    night = script(file, *FAULTS)
+    scenario = sidecar_scenario(file, *FAULTS)
     try:
-        carried.merge_operator_file(night, file)
+        carried.merge_operator_file(scenario, file)
     except MismatchError:
         return "unfit"
-    played = play(night, seed, file=file)
-    assert played.is_good(), (seed, text, played.faults, [b for b in played.violations[:2]])
+    run = play(scenario, seed, file=file)
+    assert run.is_good(), (seed, text, run.faults, [b for b in run.violations[:2]])
     return "played"
 
 
-def test_random_edits_never_give_a_sidecar_that_breaks_a_rule() -> None:
-    found = Counter(outcome(seed) for seed in range(200))
-    assert found["played"] > 20 and found["refused"] > 25, found
+def test_a_sidecar_with_a_randomly_edited_file_breaks_no_rule() -> None:
+    outcomes = Counter(run_randomly_edited_file(seed) for seed in range(200))
+    assert outcomes["played"] > 20 and outcomes["refused"] > 25, outcomes
