--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -75,8 +75,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # 2 s is the registry's own limit for a call that waits for its turn.
-    monkeypatch.setattr(discovery, "ANSWER_S", 2.0)
-    monkeypatch.setattr(discovery, "SPARE_S", 0.0)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 2.0)
+    monkeypatch.setattr(discovery, "QUEUE_MARGIN_S", 0.0)
     texts = violation_texts(play(rolling_restart(100, 12.5, latency_ms=5.0), seed=1))
     assert texts and all("after it was told of its drain" in text for text in texts)
 
