--- a/passpost/trace/__init__.py
+++ b/passpost/trace/__init__.py
@@ -1,1 +1,1 @@
-"""What became of each request, a line in the log each; and a day's lines of all balancers added up."""
+"""Logs trace lines for requests and calls to discovery, and sums up the lines of all balancers."""
