--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -6,7 +6,7 @@
 
 from passpost.rehearsal.summary import HEADS, OUTCOMES, Line, Summary, by_second, summarize
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 COLOURS = {"in time": "#2a7f62", "late": "#d9a441", "refused": "#6b7fb3", "failed": "#b3423f"}
 WIDTH, LEFT, TOP = 900, 110, 8
@@ -22,7 +22,7 @@
 """
 
 
-def write(night: Night) -> str:
+def write(night: Run) -> str:
     """The page."""
     figures = summarize(night)
     broken = sum(figures.breaks.values())
@@ -33,7 +33,7 @@
     )
     parts = [
         f"<h1>{escape(figures.title)}</h1>",
-        f"<p>{escape(night.script.about)}</p>" if night.script.about else "",
+        f"<p>{escape(night.scenario.about)}</p>" if night.scenario.about else "",
         f"<p>seed {figures.seed}, {figures.seconds:.0f} s, {figures.whole.requests:,} requests, "
         f"{figures.whole.served:.1%} served: {verdict}</p>",
         _table(figures),
@@ -66,19 +66,19 @@
     return f'<p class="key">{"".join(spans)}</p>'
 
 
-def _span(night: Night) -> float:
-    return max(night.ended - night.began, 1.0)
+def _span(night: Run) -> float:
+    return max(night.ended_at - night.started_at, 1.0)
 
 
-def _x(night: Night, at: float) -> float:
-    return LEFT + (WIDTH - LEFT) * min(max((at - night.began) / _span(night), 0.0), 1.0)
+def _x(night: Run, at: float) -> float:
+    return LEFT + (WIDTH - LEFT) * min(max((at - night.started_at) / _span(night), 0.0), 1.0)
 
 
-def _axis(night: Night, y: float) -> str:
+def _axis(night: Run, y: float) -> str:
     span = _span(night)
     step = next((s for s in (1, 2, 5, 10, 20, 30, 60, 120, 300, 600) if span / s <= 12), 3600)
     marks = [
-        f'<text x="{_x(night, night.began + s):.1f}" y="{y + 13:.0f}" text-anchor="middle">{s} s</text>'
+        f'<text x="{_x(night, night.started_at + s):.1f}" y="{y + 13:.0f}" text-anchor="middle">{s} s</text>'
         for s in range(0, int(span) + 1, step)
     ]
     return "".join(marks)
@@ -88,12 +88,12 @@
     return f'<svg viewBox="0 0 {WIDTH + 20} {height:.0f}" width="100%" role="img">{inside}</svg>'
 
 
-def _outcomes(night: Night) -> str:
+def _outcomes(night: Run) -> str:
     seconds, height = by_second(night), 160
     most = max((sum(c.values()) for c in seconds), default=1) or 1
     bars = []
     for i, counts in enumerate(seconds):
-        x, wide = _x(night, night.began + i), (WIDTH - LEFT) / _span(night)
+        x, wide = _x(night, night.started_at + i), (WIDTH - LEFT) / _span(night)
         y = float(TOP + height)
         for name in OUTCOMES:
             if counts[name]:
@@ -107,10 +107,10 @@
     return _svg(TOP + height + 20, "".join(bars) + scale + _axis(night, TOP + height))
 
 
-def _loads(night: Night) -> str:
+def _loads(night: Run) -> str:
     """A strip for each node: the darker, the more requests are inside; white: it does not run."""
-    names = sorted({name for sample in night.samples for name in sample.holding})
-    most = max((n for sample in night.samples for n in sample.holding.values()), default=1) or 1
+    names = sorted({name for sample in night.samples for name in sample.requests_by_node})
+    most = max((n for sample in night.samples for n in sample.requests_by_node.values()), default=1) or 1
     tall = 12 if len(names) <= 60 else 3
     boxes = []
     for row, name in enumerate(names):
@@ -118,10 +118,10 @@
         if tall > 10:
             boxes.append(f'<text x="{LEFT - 6}" y="{y + 10}" text-anchor="end">{escape(name[-18:])}</text>')
         for sample, after in zip(night.samples, [*night.samples[1:], None], strict=True):
-            inside = sample.holding.get(name)
+            inside = sample.requests_by_node.get(name)
             if inside is not None:
                 x = _x(night, sample.at)
-                wide = _x(night, after.at if after else night.ended) - x
+                wide = _x(night, after.at if after else night.ended_at) - x
                 boxes.append(
                     f'<rect x="{x:.1f}" y="{y}" width="{wide + 0.3:.1f}" height="{tall - 1}" fill="#274c77" '
                     f'fill-opacity="{0.06 + 0.94 * inside / most:.2f}">'
@@ -131,15 +131,17 @@
     return _svg(height + 20, "".join(boxes) + _axis(night, height)) + f"<p>darkest: {most} inside</p>"
 
 
-def _events(night: Night) -> str:
+def _events(night: Run) -> str:
     if not night.log:
         return "<p>Nothing: a calm night.</p>"
     return (
-        "<pre>" + escape("\n".join(f"{at - night.began:8.2f} s  {text}" for at, text in night.log)) + "</pre>"
+        "<pre>"
+        + escape("\n".join(f"{at - night.started_at:8.2f} s  {text}" for at, text in night.log))
+        + "</pre>"
     )
 
 
-def _rules(night: Night, figures: Summary) -> str:
+def _rules(night: Run, figures: Summary) -> str:
     rows = "".join(
         f'<tr><td>{text}</td><td class="{"bad" if figures.breaks[rule] else "good"}">'
         f"{figures.breaks[rule] or 'kept'}</td></tr>"
@@ -147,7 +149,7 @@
     )
     stories = "".join(
         f"<h2>{escape(RULES[b.rule])}: {escape(b.text)}</h2><pre>{escape(chr(10).join(b.story))}</pre>"
-        for b in night.breaks[:MOST_STORIES]
+        for b in night.violations[:MOST_STORIES]
     )
     faults = f"<h2>Faults</h2><pre>{escape(chr(10).join(night.faults[:50]))}</pre>" if night.faults else ""
     return f"<h2>Rules</h2><table>{rows}</table>{faults}{stories}"
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -6,22 +6,22 @@
 from dataclasses import dataclass
 from typing import Any
 
-from passpost.rehearsal.clients import Job
+from passpost.rehearsal.clients import ClientRequest
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 HEADS = ("", "requests", "served", "in time", "refused", "failed", "p50 ms", "p99 ms", "worth")
 OUTCOMES = ("in time", "late", "refused", "failed")
 
 
-def outcome(job: Job) -> str:
+def outcome(job: ClientRequest) -> str:
     """How a first try ended, retries included: one of OUTCOMES."""
     if job.outcome == "served":
-        return "in time" if (job.ended - job.first) * 1000 <= job.cls.aim_ms else "late"
+        return "in time" if (job.ended_at - job.started_at) * 1000 <= job.cls.aim_ms else "late"
     return "refused" if job.outcome == "refused" else "failed"
 
 
-def worth(job: Job) -> float:
+def worth(job: ClientRequest) -> float:
     """The worth of its answer."""
     return job.cls.worth * {"in time": 1.0, "late": job.cls.late_share}.get(outcome(job), 0.0)
 
@@ -100,21 +100,23 @@
     return round(value, 4) if isinstance(value, float) else value
 
 
-def summarize(night: Night) -> Summary:
+def summarize(night: Run) -> Summary:
     """The figures of a night."""
-    jobs = [job for job in night.jobs if job.outcome]
-    counts = Counter(b.rule for b in night.breaks)
+    jobs = [job for job in night.requests if job.outcome]
+    counts = Counter(b.rule for b in night.violations)
     each = max(len(jobs), 1)
     return Summary(
-        title=night.script.title,
+        title=night.scenario.title,
         seed=night.seed,
-        seconds=night.ended - night.began,
+        seconds=night.ended_at - night.started_at,
         wall_s=night.wall_s,
         whole=_line("all", jobs),
         by_class=tuple(
-            _line(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes
+            _line(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.scenario.classes
+        ),
+        by_tenant=tuple(
+            _line(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.scenario.tenants
         ),
-        by_tenant=tuple(_line(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
         attempts=night.attempts,
         attempts_each=night.attempts / each,
         tries_each=sum(j.tries for j in jobs) / each,
@@ -125,10 +127,10 @@
     )
 
 
-def _line(name: str, jobs: list[Job]) -> Line:
+def _line(name: str, jobs: list[ClientRequest]) -> Line:
     total = max(len(jobs), 1)
     count = Counter(map(outcome, jobs))
-    times = sorted((j.ended - j.first) * 1000 for j in jobs if j.outcome == "served")
+    times = sorted((j.ended_at - j.started_at) * 1000 for j in jobs if j.outcome == "served")
     asked = sum(j.cls.worth for j in jobs)
     return Line(
         name=name,
@@ -148,11 +150,11 @@
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)] if ordered else 0.0
 
 
-def by_second(night: Night) -> list[Counter[str]]:
+def by_second(night: Run) -> list[Counter[str]]:
     """Outcomes of first tries, by the second in which they were first sent."""
-    seconds = [Counter[str]() for _ in range(int(night.ended - night.began) + 1)]
-    for job in night.jobs:
-        at = int(job.first - night.began)
+    seconds = [Counter[str]() for _ in range(int(night.ended_at - night.started_at) + 1)]
+    for job in night.requests:
+        at = int(job.started_at - night.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][outcome(job)] += 1
     while len(seconds) > 1 and not seconds[-1]:
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.restarts import READY_S, SIGNALS, Scenario, draw, violations
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from tests.loopback import ROOT
 
 SIDECAR = load(str(ROOT / "examples" / "consent-desk" / "rehearsal.toml"))
@@ -31,7 +31,7 @@
     assert violations(night) == [], "\n".join(
         line for v in violations(night) for line in (v.what, *v.timeline)
     )
-    assert any(job.outcome == "served" for job in night.jobs)
+    assert any(job.outcome == "served" for job in night.requests)
 
 
 def test_a_seed_draws_the_same_scenario_each_time_and_another_one_another() -> None:
@@ -55,11 +55,11 @@
 
 def test_each_thing_that_must_not_happen_is_a_violation() -> None:
     script = drawn(2).script
-    assert violations(Night(script, 2)) == []
-    broken = Night(
+    assert violations(Run(script, 2)) == []
+    broken = Run(
         script,
         2,
-        breaks=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
+        violations=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
         faults=["b1 ended with status -15"],
         log=[(2.0, "b1 gets SIGTERM")],
     )
