--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -12,7 +12,7 @@
 from passpost.rehearsal.model import Class, Script, Tenant
 from passpost.rehearsal.nodes import tell
 from passpost.rehearsal.speech import Speech
-from passpost.rehearsal.stage import Stage
+from passpost.rehearsal.stage import Backend
 from passpost.rehearsal.watch import Watch
 
 POLL_S = 0.2  # the front asks a balancer that starts whether it is ready this often
@@ -38,12 +38,12 @@
 class Front:
     """Deals out connections among the balancers that it takes for alive and ready."""
 
-    def __init__(self, stage: Stage, notice_s: float, ready: str) -> None:
-        self._stage, self._notice, self._ready = stage, notice_s, ready
+    def __init__(self, backend: Backend, notice_s: float, ready: str) -> None:
+        self._backend, self._notice, self._ready = backend, notice_s, ready
         self.addresses: dict[str, Address] = {}
         self._in: dict[str, None] = {}
         self._turn = 0
-        self._pool = Pool(stage)
+        self._pool = Pool(backend)
         self._starts: dict[str, int] = {}
         self.on_ready: Callable[[], None] = lambda: None
 
@@ -101,18 +101,18 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         watch: Watch,
         script: Script,
         seed: int,
         excuse: Callable[[str, float], str],
         speech: Speech,
     ) -> None:
-        self._stage, self._watch, self._script, self._excuse = stage, watch, script, excuse
+        self._backend, self._watch, self._script, self._excuse = backend, watch, script, excuse
         self._speech = speech
-        self.front = Front(stage, script.clients.notice_s, speech.ready)
+        self.front = Front(backend, script.clients.notice_s, speech.ready)
         pieces = script.clients.pieces
-        self._pools = [Pool(stage, pieces, f"{seed} {i}") for i in range(script.clients.processes)]
+        self._pools = [Pool(backend, pieces, f"{seed} {i}") for i in range(script.clients.processes)]
         self._random = random.Random(f"clients {seed}")
         # Arrivals are drawn apart from all else: what goes wrong must not change what is asked.
         self._arrivals = [random.Random(f"arrivals {seed} {i}") for i in range(len(self._pools))]
@@ -127,13 +127,13 @@
 
     def start(self, seconds: float) -> None:
         """Send for so long from now on."""
-        self._ends = self._stage.now() + seconds
+        self._ends = self._backend.now() + seconds
         for number in range(len(self._pools)):
             self._next(number)
 
     def is_over(self) -> bool:
         """Whether all has been sent and has ended."""
-        return self._stage.now() >= self._ends and not self.open
+        return self._backend.now() >= self._ends and not self.open
 
     def _next(self, process: int) -> None:
         rate = self._script.clients.rate_per_s * self._most() / len(self._pools)
@@ -147,7 +147,7 @@
         return factor
 
     def _arrive(self, process: int) -> None:
-        now = self._stage.now()
+        now = self._backend.now()
         if now >= self._ends:
             return
         self._next(process)
@@ -167,7 +167,7 @@
 
     def _try(self, job: Job, process: int, unreached: int = 0) -> None:
         """One try, on a free connection or on a new one."""
-        now, cls = self._stage.now(), job.cls
+        now, cls = self._backend.now(), job.cls
         left = job.first + cls.deadline_ms / 1000 - now
         if left <= 0:
             self._end(job, "failed", "out of time")
@@ -186,10 +186,10 @@
     def _send(
         self, job: Job, process: int, balancer: str, txn: str, due: float, unreached: int, fresh: bool = False
     ) -> None:
-        pool, begun, cls, clients = self._pools[process], self._stage.now(), job.cls, self._script.clients
+        pool, begun, cls, clients = self._pools[process], self._backend.now(), job.cls, self._script.clients
 
         def data() -> bytes:
-            now = self._stage.now()
+            now = self._backend.now()
             self._watch.asked(now, txn, cls, balancer, due)
             tenant = job.tenant if self._script.tenants else ""
             topic = f"m{job.number % 997}"
@@ -197,13 +197,13 @@
 
         def done(result: Result) -> None:
             if result.how == "crossed" and not fresh:  # the same request once more, on a new connection
-                self._watch.note(self._stage.now(), txn, "crossed a close; sent once more")
+                self._watch.note(self._backend.now(), txn, "crossed a close; sent once more")
                 self._send(job, process, balancer, txn, due, unreached, fresh=True)
                 return
             if result.how == "left":
-                self._watch.left(self._stage.now(), txn)
+                self._watch.left(self._backend.now(), txn)
             else:
-                tell(self._stage, self._watch, txn, result, self._excuse(balancer, begun))
+                tell(self._backend, self._watch, txn, result, self._excuse(balancer, begun))
             self._ended(job, process, result, unreached)
 
         wait = max(due - begun, 0.0) + GRACE_S
@@ -226,7 +226,7 @@
             return
         refused = status in (429, 503)
         reason = "refused" if refused else f"failed {status}" if status else result.how
-        age = self._stage.now() - job.first
+        age = self._backend.now() - job.first
         may = refused or effect == "safe" or (effect == "keyed" and age < job.cls.window_ms / 1000)
         if not may or job.tries > clients.retries:
             self._end(job, "refused" if refused else "failed", reason)
@@ -238,13 +238,13 @@
 
     def _again(self, job: Job, process: int, wait: float, reason: str, unreached: int) -> None:
         job.reasons.append(reason)
-        if self._stage.now() + wait - job.first >= job.cls.deadline_ms / 1000:
+        if self._backend.now() + wait - job.first >= job.cls.deadline_ms / 1000:
             self._end(job, "refused" if reason == "refused" else "failed", reason)
             return
         asyncio.get_running_loop().call_later(wait, self._try, job, process, unreached)
 
     def _end(self, job: Job, outcome: str, reason: str) -> None:
-        job.outcome, job.ended = outcome, self._stage.now()
+        job.outcome, job.ended = outcome, self._backend.now()
         if reason:
             job.reasons.append(reason)
         self.open -= 1
--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -13,7 +13,7 @@
 
 from passpost.host import Address
 from passpost.http1 import Answer, AnswerReader, BadAnswerError
-from passpost.rehearsal.stage import Ending, Stage
+from passpost.rehearsal.stage import Backend, Ending
 
 MOST_PAUSE_S = 0.05  # between the pieces of a request
 GRACE_S = 0.15  # a client that has given up still listens for so long, for the rule on answers
@@ -35,8 +35,8 @@
 class RequestConnection(asyncio.Protocol):
     """A connection on which requests come, one at a time; subclasses take them in `request_came`."""
 
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
+    def __init__(self, backend: Backend) -> None:
+        self.backend = backend
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url, self._headers, self._body = b"", dict[str, str](), b""
@@ -87,7 +87,7 @@
         """Bytes."""
         assert self.transport is not None
         if math.isnan(self._begun):
-            self._begun = self.stage.written_at(self.transport)
+            self._begun = self.backend.written_at(self.transport)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -110,7 +110,7 @@
         assert self.transport is not None
         path, _, query = self._url.decode("latin-1").partition("?")
         method = self._parser.get_method().decode()
-        written = self.stage.written_at(self.transport)
+        written = self.backend.written_at(self.transport)
         request = Request(method, path, query, self._headers, self._body, self._begun, written)
         self._url, self._headers, self._body, self._begun = b"", {}, b"", math.nan
         self.request_came(request)
@@ -188,14 +188,14 @@
             pause = self.pool.pause_s()
             self._unwritten = asyncio.get_running_loop().call_later(pause, self._write_rest, data[cut:])
         else:
-            self._written_at = self.pool.stage.now()
+            self._written_at = self.pool.backend.now()
 
     def _write_rest(self, data: bytes) -> None:
         self._unwritten = None
         if self._transport is not None:
-            self._ended_early = bool(self.pool.stage.host.ending(self._transport)(0))
+            self._ended_early = bool(self.pool.backend.host.ending(self._transport)(0))
             self._transport.write(data)
-            self._written_at = self.pool.stage.now()
+            self._written_at = self.pool.backend.now()
 
     def over(self, answered: bool) -> None:
         """The call on it has ended; without a whole answer the connection is of no use."""
@@ -234,9 +234,9 @@
             known=self._calls > 1 or self._in_pieces,
             was_reset=isinstance(exc, ConnectionResetError),
             written_at=self._written_at,
-            ended_at=self.pool.stage.now(),
+            ended_at=self.pool.backend.now(),
         )
-        return self.pool.stage.crossed(transport, ending)
+        return self.pool.backend.crossed(transport, ending)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of the answer."""
@@ -262,9 +262,9 @@
 class Pool:
     """Connections of one process to balancers, kept while they are open. One request at a time on each."""
 
-    def __init__(self, stage: Stage, pieces: float = 0.0, seed: str = "") -> None:
+    def __init__(self, backend: Backend, pieces: float = 0.0, seed: str = "") -> None:
         """So large a share of requests, drawn by the seed, is sent in two pieces."""
-        self.stage = stage
+        self.backend = backend
         self.idle: dict[_Line, None] = {}
         self._tasks: dict[asyncio.Task[Any], None] = {}
         self._pieces, self._chance = pieces, random.Random(f"pieces {seed}")
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -30,7 +30,7 @@
 from passpost.operator.writer import render
 from passpost.rehearsal import carried, model
 from passpost.rehearsal.model import Script
-from passpost.rehearsal.stage import Config, Ending, Running, Stage
+from passpost.rehearsal.stage import Backend, Config, Ending, Running
 from passpost.rehearsal.world import Night, World
 
 T = TypeVar("T")
@@ -73,19 +73,19 @@
 
 class _Process(Running):
     def __init__(
-        self, stage: LiveStage, name: str, config: Config, ended: Callable[[int | None], None]
+        self, backend: LiveBackend, name: str, config: Config, ended: Callable[[int | None], None]
     ) -> None:
-        self._ended, self._stage, self._name = ended, stage, name
+        self._ended, self._backend, self._name = ended, backend, name
         if isinstance(config, File):
-            self._path = stage.folder / f"{name}.toml"
+            self._path = backend.folder / f"{name}.toml"
             command, more = ["passpost.cli", "run", str(self._path)], dict(carried.environment(config))
-            if stage.workers > 1:
-                command += ["--workers", str(stage.workers)]
+            if backend.workers > 1:
+                command += ["--workers", str(backend.workers)]
         else:
-            self._path = stage.folder / f"{name}.json"
+            self._path = backend.folder / f"{name}.json"
             command, more = ["passpost"], {"EDGE_CONFIG": str(self._path)}
         self._write(config)
-        with open(stage.folder / f"{name}.log", "ab") as log:
+        with open(backend.folder / f"{name}.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *command],
                 env=os.environ | more,
@@ -131,12 +131,12 @@
     def kill(self) -> None:
         if self.alive:
             self.alive = False
-            self._stage.killed_at[self._name] = self._stage.now()
+            self._backend.killed_at[self._name] = self._backend.now()
             self.process.kill()
             self.process.wait()
 
 
-class LiveStage(Stage):
+class LiveBackend(Backend):
     """The machine's clock and loopback."""
 
     exact = False
@@ -226,13 +226,13 @@
     with tempfile.TemporaryDirectory(prefix="passpost-") as folder:
 
         async def night() -> Night:
-            stage = LiveStage(Path(folder), workers)
-            world = World(stage, script, seed, progress, ready_within=ready_within)
+            backend = LiveBackend(Path(folder), workers)
+            world = World(backend, script, seed, progress, ready_within=ready_within)
             world.watch.sink = sink
             try:
                 return await world.play()
             finally:
-                for running in stage.running.values():
+                for running in backend.running.values():
                     running.kill()
 
         result = uvloop.run(night())
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.machine import Job, Machine
 from passpost.rehearsal.model import Class, Contract, Kind, Tier
 from passpost.rehearsal.speech import Asked, Speech
-from passpost.rehearsal.stage import Stage, listen
+from passpost.rehearsal.stage import Backend, listen
 from passpost.rehearsal.watch import Watch
 
 REPEAT_PART = 0.1  # of its work that a dropped repeat costs
@@ -57,7 +57,7 @@
 
 class _Connection(RequestConnection):
     def __init__(self, node: Node, balancer: str) -> None:
-        super().__init__(node.stage)
+        super().__init__(node.backend)
         self.node, self.balancer = node, balancer
         self.work: _Work | None = None
         self.full = len(node.connections) >= node.kind.connections
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         watch: Watch,
         name: str,
         tier: Tier,
@@ -122,10 +122,10 @@
         speech: Speech,
     ) -> None:
         self._speech = speech
-        self.stage, self.watch, self.name, self.tier, self.kind = stage, watch, name, tier, kind
+        self.backend, self.watch, self.name, self.tier, self.kind = backend, watch, name, tier, kind
         self._contract, self._classes, self._effects, self._seed = contract, classes, effects, seed
-        self.started = stage.now() if cold else -math.inf
-        self.machine = Machine(kind, contract, stage.now(), cold)
+        self.started = backend.now() if cold else -math.inf
+        self.machine = Machine(kind, contract, backend.now(), cold)
         self.connections: dict[_Connection, None] = {}
         self._chance = random.Random(f"node {seed} {name} {self.started}")
         self._lengths = random.Random(f"lengths {seed} {name} {self.started}")
@@ -137,7 +137,7 @@
         self.resets: list[float] = []
         self.spoils: list[float] = []
         self.next_tier: tuple[str, Address] | None = None  # its own balancer, where there is one
-        self._pool = Pool(stage)
+        self._pool = Pool(backend)
         self._calls = 0
         self.frozen, self.lag = 0, 0.0  # live nights: paused or cut off, and delayed
         self._late: deque[Callable[[], None]] = deque()
@@ -152,7 +152,7 @@
 
     def listen(self, balancer: str, address: Address) -> Address:
         """Listen for one balancer, so that it is known who sends; the result is the address."""
-        got, end = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        got, end = listen(self.backend.host, address, lambda: _Connection(self, balancer))
         self._listening.append(end)
         return got
 
@@ -212,7 +212,7 @@
 
     def take(self, connection: _Connection, request: Request) -> None:
         """A request is whole."""
-        now = self.stage.now()
+        now = self.backend.now()
         asked = self._speech.read(request)
         cls = self._classes.get(asked.cls) if asked is not None else None
         if request.path in ("/health/live", "/stats"):
@@ -260,7 +260,7 @@
         return random.Random(f"work {self._seed} {txn}").gammavariate(shape, cls.work_ms / shape)
 
     def _turn_away(self, work: _Work) -> None:
-        self.watch.turned_away(self.stage.now(), work.txn, self.name, work.attempt)
+        self.watch.turned_away(self.backend.now(), work.txn, self.name, work.attempt)
         if work.connection is not None:
             work.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
 
@@ -268,13 +268,13 @@
         """Bring the machine to now, and see to what has ended."""
         if self.dead:
             return
-        for number in self.machine.advance(self.stage.now()):
+        for number in self.machine.advance(self.backend.now()):
             self._worked(self._works[number])
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if (at := self.machine.next_at()) is not None:
-            delay = max(at - self.stage.now(), 0.0)
+            delay = max(at - self.backend.now(), 0.0)
             self._timer = asyncio.get_running_loop().call_later(delay, self._advance)
 
     def _worked(self, work: _Work) -> None:
@@ -291,7 +291,7 @@
         """Make the next call to the next tier; it carries what is left of the time."""
         assert self.next_tier is not None
         work.calls_left -= 1
-        now = self.stage.now()
+        now = self.backend.now()
         remaining = work.due - now
         if remaining <= 0:
             self._fail(work)
@@ -302,14 +302,14 @@
         key, tenant = work.asked.key, work.asked.tenant
 
         def data() -> bytes:
-            left = max(work.due - self.stage.now(), 0.0)
-            self.watch.asked(self.stage.now(), txn, work.cls, balancer, work.due, work.txn)
+            left = max(work.due - self.backend.now(), 0.0)
+            self.watch.asked(self.backend.now(), txn, work.cls, balancer, work.due, work.txn)
             return write_request(
                 work.cls.name, work.cls.effect, txn, left, tenant, f"{key}.{work.calls_left}"
             )
 
         def done(result: Result) -> None:
-            tell(self.stage, self.watch, txn, result, self.excuse(balancer, now))
+            tell(self.backend, self.watch, txn, result, self.excuse(balancer, now))
             if self.dead:
                 return
             self._advance()
@@ -341,7 +341,7 @@
             connection.write(self._chance.choice(SPOILT))
         else:
             body = f"{work.txn} by {self.name}".encode()
-            self.watch.answered(self.stage.now(), work.txn, self.name, body)
+            self.watch.answered(self.backend.now(), work.txn, self.name, body)
             connection.answer(200, body)
 
     def _end(self, work: _Work) -> None:
@@ -350,7 +350,7 @@
         following = self.machine.leave()
         while following is not None:
             other = self._works[following.number]
-            if other.due > self.stage.now():
+            if other.due > self.backend.now():
                 self.machine.resume(following)
                 return
             self._works.pop(following.number, None)
@@ -358,9 +358,9 @@
             following = self.machine.leave()
 
 
-def tell(stage: Stage, watch: Watch, txn: str, result: Result, excuse: str) -> None:
+def tell(backend: Backend, watch: Watch, txn: str, result: Result, excuse: str) -> None:
     """What the watch hears of how a call ended."""
-    now = stage.now()
+    now = backend.now()
     if result.how == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -14,7 +14,7 @@
 from passpost.host import Address
 from passpost.rehearsal.http import Request, RequestConnection
 from passpost.rehearsal.model import Discovery
-from passpost.rehearsal.stage import Stage, listen
+from passpost.rehearsal.stage import Backend, listen
 from passpost.rehearsal.watch import Watch
 
 LINE_TIMEOUT_S = 2.0  # a call that would wait longer for its turn is turned down
@@ -42,7 +42,7 @@
 
 class _Connection(RequestConnection):
     def __init__(self, registry: Registry, balancer: str) -> None:
-        super().__init__(registry.stage)
+        super().__init__(registry.backend)
         self.registry, self.balancer = registry, balancer
         registry.connections[self] = None
         self.watch_timer: asyncio.TimerHandle | None = None
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         watch: Watch,
         settings: Discovery,
         ask_within_s: float,
@@ -74,7 +74,7 @@
         address_of: Callable[[str, str], Address],
         tier_of: Callable[[str], str],
     ) -> None:
-        self.stage, self._watch, self._settings, self._ask_within = stage, watch, settings, ask_within_s
+        self.backend, self._watch, self._settings, self._ask_within = backend, watch, settings, ask_within_s
         self._address_of, self._tier_of = address_of, tier_of
         self._random = random.Random(f"list {seed}")
         self.entries: dict[str, Entry] = {}
@@ -102,7 +102,7 @@
         low, high = self._settings.notice_s
         delay = self._random.uniform(low, high)
         loop = asyncio.get_running_loop()
-        self.stage.run_as("discovery", lambda: loop.call_later(delay, self._noticed, entry))
+        self.backend.run_as("discovery", lambda: loop.call_later(delay, self._noticed, entry))
 
     def _noticed(self, entry: Entry) -> None:
         known = self.entries.get(entry.node)
@@ -119,7 +119,7 @@
                 if self._tier_of(balancer) == entry.tier:
                     loop.call_later(self._ask_within, self._counts_as_told, entry, balancer, life)
         for connection in self.connections:
-            if connection.watched_at >= self.stage.now() - GOES_ON_S and connection not in self.watchers:
+            if connection.watched_at >= self.backend.now() - GOES_ON_S and connection not in self.watchers:
                 self._tell(connection.balancer, entry)  # what changes between two calls of a watch
         if self._settings.mode == "push" and not self.down:
             loop.call_later(AGENT_S, self._sent, entry, self._up_since)
@@ -143,7 +143,7 @@
             return
         if any(c.balancer == balancer for c in self.watchers):
             return
-        now, (unasked, times) = self.stage.now(), self._unasked.get(balancer, (life, 1))
+        now, (unasked, times) = self.backend.now(), self._unasked.get(balancer, (life, 1))
         due = unasked + times * self._ask_within
         if self.down or self._up_since > now - self._ask_within or not self.reachable(balancer, due):
             due = max(due, now + AGAIN_S)
@@ -155,13 +155,13 @@
 
     def unwatched(self, balancer: str, failed: bool = False) -> None:
         """A balancer neither watches nor asks from now on; `failed`: its call has."""
-        self._unasked[balancer] = (self.stage.now(), FAILED_TIMES if failed else 1)
+        self._unasked[balancer] = (self.backend.now(), FAILED_TIMES if failed else 1)
 
     # ---- who asks
 
     def serve(self, balancer: str, address: Address = ("127.0.0.1", 0)) -> Address:
         """An address of the list for one balancer; a second call moves it."""
-        got, close = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        got, close = listen(self.backend.host, address, lambda: _Connection(self, balancer))
         if (old := self._closers.pop(balancer, None)) is not None:
             old()
             for connection in [c for c in self.connections if c.balancer == balancer]:
@@ -177,7 +177,7 @@
 
     def balancer_started(self, balancer: str) -> dict[str, Any]:
         """A balancer starts: it knows the list of now, which counts as told."""
-        self._running[balancer] = self.stage.now()
+        self._running[balancer] = self.backend.now()
         self.unwatched(balancer)
         return self._listing(balancer, None)
 
@@ -188,7 +188,7 @@
     def set_down(self, on: bool) -> None:
         """Out of reach, or back."""
         self.down += 1 if on else -1
-        self._up_since = self.stage.now()
+        self._up_since = self.backend.now()
         if on and self._settings.mode == "ask":
             for connection in list(self.watchers):
                 self._drop(connection)
@@ -220,7 +220,7 @@
         if self.down:
             self._drop(connection)
             return
-        now = self.stage.now()
+        now = self.backend.now()
         self.unwatched(connection.balancer)
         if "wait_ms" in request.query and connection.watched_at >= now - GOES_ON_S:
             self._answer(connection, request)
@@ -264,7 +264,7 @@
         if news or at_once:
             del self.watchers[connection]
             self.unwatched(connection.balancer)
-            connection.watched_at = self.stage.now()
+            connection.watched_at = self.backend.now()
             if connection.watch_timer is not None:
                 connection.watch_timer.cancel()
             self._write(connection, connection.after)
@@ -279,10 +279,10 @@
             return
         if self._settings.mode == "push" and self.down:
             return  # whoever could not read it in time hears it when the agent is back
-        if entry.phase != "active" and not self.reachable(balancer, self.stage.now()):
+        if entry.phase != "active" and not self.reachable(balancer, self.backend.now()):
             asyncio.get_running_loop().call_later(AGAIN_S, self._tell, balancer, entry)
             return
-        self._watch.told(self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started)
+        self._watch.told(self.backend.now(), balancer, entry.node, entry.phase == "active", entry.started)
 
     def _listing(self, balancer: str, after: int | None) -> dict[str, Any]:
         """What is told, in discovery's form; the watch hears of it."""
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -57,7 +57,7 @@
         """SIGKILL."""
 
 
-class Stage(ABC):
+class Backend(ABC):
     """One way to play a night. Times are seconds since `begin`."""
 
     exact: bool  # whether bytes carry the moment at which they were written
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.loop import Process, SimLoop, StuckError
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.network import Network, SimHost, SimTransport
-from passpost.rehearsal.stage import Config, Ending, Running, Stage
+from passpost.rehearsal.stage import Backend, Config, Ending, Running
 from passpost.rehearsal.world import Night, World
 from umberworks import interface
 from umberworks.rules import Balancer
@@ -53,8 +53,10 @@
 
 
 class _Running(Running):
-    def __init__(self, stage: VirtualStage, process: Process, ended: Callable[[int | None], None]) -> None:
-        self._stage, self._process, self._ended = stage, process, ended
+    def __init__(
+        self, backend: VirtualBackend, process: Process, ended: Callable[[int | None], None]
+    ) -> None:
+        self._backend, self._process, self._ended = backend, process, ended
         self.node: Node | Sidecar | None = None
 
     def terminate(self) -> None:
@@ -65,19 +67,19 @@
                 try:
                     await node.stop()
                 except Exception as error:
-                    self._stage.faults.append(f"{self._process.name}: {error!r} on SIGTERM")
+                    self._backend.faults.append(f"{self._process.name}: {error!r} on SIGTERM")
                     self._over(1)
                 else:
                     self._over(0)
 
-            self._stage.loop.run_as(self._process, lambda: self._stage.loop.create_task(stop()))
+            self._backend.loop.run_as(self._process, lambda: self._backend.loop.create_task(stop()))
 
     def interrupt(self) -> None:
         self.terminate()
 
     def reload_unusable(self) -> None:
         if self.alive and isinstance(self.node, Node):
-            self._stage.loop.run_as(self._process, self.node.reload_failed)
+            self._backend.loop.run_as(self._process, self.node.reload_failed)
 
     def reload(self, config: Config) -> None:
         if not self.alive:
@@ -91,21 +93,21 @@
                 assert isinstance(config, dict)
                 self.node.reload(platform.read(config))
 
-        self._stage.loop.run_as(self._process, take)
+        self._backend.loop.run_as(self._process, take)
 
     def kill(self) -> None:
         if self.alive:
             self.alive = False
-            self._stage.bury(self._process)
+            self._backend.bury(self._process)
 
     def _over(self, status: int) -> None:
         if self.alive:
             self.alive = False
-            self._stage.bury(self._process)
+            self._backend.bury(self._process)
             self._ended(status)
 
 
-class VirtualStage(Stage):
+class VirtualBackend(Backend):
     """Simulated clock, network and processes."""
 
     exact = True
@@ -203,15 +205,15 @@
 class _Faults(logging.Handler):
     """Errors that the balancers log are faults of the night; what else they say is dropped."""
 
-    def __init__(self, stage: VirtualStage) -> None:
+    def __init__(self, backend: VirtualBackend) -> None:
         super().__init__(logging.ERROR)
-        self._stage = stage
+        self._backend = backend
 
     def emit(self, record: logging.LogRecord) -> None:
-        text = f"{self._stage.loop.current.name}: {record.getMessage()}"
+        text = f"{self._backend.loop.current.name}: {record.getMessage()}"
         if record.exc_info and record.exc_info[1] is not None:
             text += f": {record.exc_info[1]!r}"
-        self._stage.faults.append(text)
+        self._backend.faults.append(text)
 
 
 def play(
@@ -224,22 +226,22 @@
 ) -> Night:
     """One whole night in simulated time. `file` takes the place of the operator's file that the script names."""
     begun = time.perf_counter()
-    stage = VirtualStage(script, seed, sink, module)
-    world = World(stage, script, seed, progress, file)
-    log, handler = logging.getLogger("passpost"), _Faults(stage)
+    backend = VirtualBackend(script, seed, sink, module)
+    world = World(backend, script, seed, progress, file)
+    log, handler = logging.getLogger("passpost"), _Faults(backend)
     before = log.propagate
     log.addHandler(handler)
     log.propagate = False
     try:
-        night = stage.loop.run(world.play())
+        night = backend.loop.run(world.play())
     except StuckError as error:
         night = world.night
         night.faults.append(str(error))
         night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
-        night.ended = stage.now()
+        night.ended = backend.now()
     finally:
         log.removeHandler(handler)
         log.propagate = before
-    night.faults += stage.faults + stage.loop.faults
+    night.faults += backend.faults + backend.loop.faults
     night.wall_s = time.perf_counter() - begun
     return night
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -20,7 +20,7 @@
 from passpost.rehearsal.nodes import Effects, Node
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
-from passpost.rehearsal.stage import Config, Running, Stage
+from passpost.rehearsal.stage import Backend, Config, Running
 from passpost.rehearsal.watch import Break, Watch
 
 WARM_UP_S = 20.0  # balancers that are not ready by then never will be
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         script: Script,
         seed: int,
         progress: Callable[[float], None],
@@ -93,7 +93,7 @@
             file = file or carried.read(script.sidecar.file)
             script, speech = carried.merged(script, file), carried.speech(script, file)
         self._file, self._speech = file, speech
-        self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
+        self.backend, self.script, self.seed, self._progress = backend, script, seed, progress
         self.watch = Watch(script.contract)
         self.night = Night(script, seed)
         self._random = random.Random(f"world {seed}")
@@ -112,7 +112,7 @@
         self._launched: dict[str, float] = {}  # when each balancer was last started ...
         self._stopped: dict[str, float] = {}  # ... and last told to stop
         self.registry = Registry(
-            stage,
+            backend,
             self.watch,
             script.discovery,
             script.contract.ask_within_ms / 1000,
@@ -121,13 +121,13 @@
             lambda balancer: script.tiers[self._tier_of_balancer[balancer]].name,
         )
         self.registry.reachable = lambda balancer, since: not self._excuse(balancer, since)
-        self.clients = Clients(stage, self.watch, script, seed, self._excuse, speech)
+        self.clients = Clients(backend, self.watch, script, seed, self._excuse, speech)
 
     # ---- building
 
     async def play(self) -> Night:
         """The whole night."""
-        stage, script = self.stage, self.script
+        backend, script = self.backend, self.script
         for tier in reversed(script.tiers):  # a node's own balancer knows the tier that it calls
             for kind in tier.kinds:
                 for i in range(kind.count):
@@ -144,7 +144,7 @@
             self.clients.front.addresses[name] = self._addresses[name]
         fronts = [f"b{i + 1}" for i in range(script.tiers[0].balancers)]
         for name in fronts:
-            stage.run_as("clients", lambda name=name: self.clients.front.started(name))  # type: ignore[misc]
+            backend.run_as("clients", lambda name=name: self.clients.front.started(name))  # type: ignore[misc]
         waited = 0.0
         while not all(self.clients.front.is_ready(n) for n in fronts):
             await asyncio.sleep(0.05)
@@ -152,16 +152,16 @@
             if waited > WARM_UP_S:
                 self.night.faults.append("the balancers did not get ready")
                 return self._finish()
-        begin = self.night.began = stage.now()
-        stage.run_as("clients", lambda: self.clients.start(script.length_s))
+        begin = self.night.began = backend.now()
+        backend.run_as("clients", lambda: self.clients.start(script.length_s))
         for event in script.events:
             self._at(begin + event.at_s, lambda event=event: self._happen(event))  # type: ignore[misc]
         self._sample()
         longest = max(c.deadline_ms for c in script.classes) / 1000
         end = begin + script.length_s
-        while stage.now() < end or (not self.clients.is_over() and stage.now() < end + longest + 1.0):
+        while backend.now() < end or (not self.clients.is_over() and backend.now() < end + longest + 1.0):
             await asyncio.sleep(0.25)
-            self._progress(min((stage.now() - begin) / script.length_s, 1.0))
+            self._progress(min((backend.now() - begin) / script.length_s, 1.0))
         if self._ready_within is not None:
             await self._until_ready(fronts, self._ready_within)
         if self.clients.open:
@@ -172,7 +172,7 @@
         """Wait for balancers that are stopping or starting still; one that takes too long is a fault."""
         waiting = fronts
         while waiting := [name for name in waiting if not self.clients.front.is_ready(name)]:
-            now = self.stage.now()
+            now = self.backend.now()
             for name in waiting:
                 started = self._launched[name]
                 if started > self._stopped.get(name, -math.inf) and now > started + within:
@@ -189,11 +189,11 @@
             self._balancers.pop(name, None)
         for place in self._all_places:
             if place.node is not None:
-                self.stage.run_as(place.name, place.node.close)
-        self.watch.ended(self.stage.now())
+                self.backend.run_as(place.name, place.node.close)
+        self.watch.ended(self.backend.now())
         night.jobs, night.breaks = self.clients.jobs, self.watch.breaks
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
-        night.attempts, night.ended = self.watch.attempts, self.stage.now()
+        night.attempts, night.ended = self.watch.attempts, self.backend.now()
         return night
 
     def _at(self, when: float, call: Callable[[], None]) -> None:
@@ -201,22 +201,22 @@
             if not self._over:
                 call()
 
-        asyncio.get_running_loop().call_later(max(when - self.stage.now(), 0.0), due)
+        asyncio.get_running_loop().call_later(max(when - self.backend.now(), 0.0), due)
 
     def _after(self, seconds: float, call: Callable[[], None]) -> None:
-        self._at(self.stage.now() + seconds, call)
+        self._at(self.backend.now() + seconds, call)
 
     def _say(self, text: str) -> None:
-        self.night.log.append((self.stage.now(), text))
+        self.night.log.append((self.backend.now(), text))
 
     def _stand(self, place: _Place, name: str, cold: bool) -> None:
         """A node starts at a place; its own balancer with it."""
         place.name, place.starts = name, place.starts + 1
         self._places[name] = place
-        node = place.node = self.stage.run_as(
+        node = place.node = self.backend.run_as(
             name,
             lambda: Node(
-                self.stage,
+                self.backend,
                 self.watch,
                 name,
                 place.tier,
@@ -231,7 +231,7 @@
         )
         node.excuse = self._excuse  # type: ignore[method-assign]
         for balancer, address in list(place.addresses.items()):
-            self.stage.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
+            self.backend.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
         tier = self._tiers[place.tier.name]
         if tier + 1 < len(self.script.tiers):
             balancer = f"b-{name}"
@@ -245,7 +245,7 @@
             node = place.node
             if node is None or place.name != name:
                 return ("127.0.0.1", 9)  # nobody is there any more
-            place.addresses[balancer] = self.stage.run_as(
+            place.addresses[balancer] = self.backend.run_as(
                 name, lambda: node.listen(balancer, ("127.0.0.1", 0))
             )
         return place.addresses[balancer]
@@ -254,12 +254,12 @@
 
     def _launch(self, name: str) -> None:
         if name not in self._addresses:
-            self._addresses[name] = self.stage.free_address()
-        listed = self.stage.run_as("discovery", lambda: self.registry.serve(name))
+            self._addresses[name] = self.backend.free_address()
+        listed = self.backend.run_as("discovery", lambda: self.registry.serve(name))
         known = self.registry.balancer_started(name)
-        self._launched[name] = self.stage.now()
+        self._launched[name] = self.backend.now()
         self._configs[name] = config = self._config(name, self._addresses[name], listed, known)
-        self._balancers[name] = self.stage.launch(name, config, lambda status: self._ended(name, status))
+        self._balancers[name] = self.backend.launch(name, config, lambda status: self._ended(name, status))
 
     def _config(self, name: str, listen: Address, listed: Address, known: dict[str, Any]) -> Config:
         tier = self._tier_of_balancer[name]
@@ -280,14 +280,14 @@
 
     def _excuse(self, balancer: str, since: float) -> str:
         """Why a balancer may have left a call unanswered that was made at `since`."""
-        now = self.stage.now()
+        now = self.backend.now()
         for name, begun, until, why in self._downs:
             if name == balancer and begun <= now and until + 0.3 >= since:
                 return why
         return ""
 
     def _excused(self, balancer: str, why: str, seconds: float) -> None:
-        now = self.stage.now()
+        now = self.backend.now()
         self._downs = [d for d in self._downs if d[2] > now - 60]
         self._downs.append((balancer, now, now + seconds, why))
 
@@ -329,14 +329,14 @@
             case model.Kill():
                 self._say(f"{event.balancer} killed")
                 self._kill_balancer(event.balancer, "killed")
-                self.stage.run_as("clients", lambda: self._front_died(event.balancer))
+                self.backend.run_as("clients", lambda: self._front_died(event.balancer))
                 if event.back_s:
                     self._after(event.back_s, lambda: self._relaunch(event.balancer))
             case model.Reload():
                 self._reload(event.balancer)
             case model.Clock():
                 self._say(f"{event.balancer}: wall clock set by {event.by_s:g} s")
-                self.stage.set_clock(event.balancer, event.by_s)
+                self.backend.set_clock(event.balancer, event.by_s)
 
     def _front_died(self, balancer: str) -> None:
         if balancer in self.clients.front.addresses:
@@ -349,7 +349,7 @@
         self._say(f"{name} starts again")
         self._launch(name)
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.started(name))
+            self.backend.run_as("clients", lambda: self.clients.front.started(name))
 
     def _stop(self, event: model.Stop) -> None:
         name = event.balancer
@@ -358,18 +358,18 @@
             return
         self._say(f"{name} gets SIGTERM")
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.stopping(name))
-        self._stopped[name] = self.stage.now()
+            self.backend.run_as("clients", lambda: self.clients.front.stopping(name))
+        self._stopped[name] = self.backend.now()
         running.terminate()
         bound = min(max(c.deadline_ms for c in self.script.classes) / 1000, LONGEST_S) + KILL_AFTER_S
         if isinstance(self._configs[name], File) and self._file is not None:
             bound = self._file.drain.kill_after_s
-        begun = self.stage.now()
+        begun = self.backend.now()
         for number, what in enumerate(event.then, 1):
             self._after(number * event.every_ms / 1000, lambda what=what: self._signal(name, running, what))  # type: ignore[misc]
 
         def look() -> None:
-            if running.alive and self.stage.now() < begun + bound:
+            if running.alive and self.backend.now() < begun + bound:
                 self._after(0.05, look)
                 return
             if running.alive:
@@ -401,7 +401,7 @@
         if running is None or not running.alive:
             return
         self._say(f"{name}: discovery moves, SIGHUP")
-        host, port = self.stage.run_as("discovery", lambda: self.registry.serve(name))
+        host, port = self.backend.run_as("discovery", lambda: self.registry.serve(name))
         config = self._configs[name]
         if isinstance(config, File):
             application = config.applications[0]
@@ -424,11 +424,11 @@
         return found
 
     def _for_a_while(self, node: Node, seconds: float, turn: Callable[[Node, bool], None]) -> None:
-        self.stage.run_as(node.name, lambda: turn(node, True))
+        self.backend.run_as(node.name, lambda: turn(node, True))
 
         def end() -> None:
             if not node.dead:
-                self.stage.run_as(node.name, lambda: turn(node, False))
+                self.backend.run_as(node.name, lambda: turn(node, False))
 
         self._after(seconds, end)
 
@@ -470,7 +470,7 @@
     def _pause(self, name: str, node: Node | None, seconds: float) -> None:
         if name in self._balancers:
             self._excused(name, "paused", seconds)
-        if node is not None and not self.stage.exact:
+        if node is not None and not self.backend.exact:
             self._for_a_while(node, seconds, lambda n, on: n.freeze(on))
             return
         if node is not None:
@@ -478,27 +478,27 @@
             own = f"b-{name}"
             if own in self._balancers:
                 self._pause(own, None, seconds)
-        slept_from = self.stage.now()
-        self.stage.pause(name, True)
+        slept_from = self.backend.now()
+        self.backend.pause(name, True)
 
         def wake() -> None:
-            self.stage.pause(name, False)
-            self.watch.woke(self.stage.now(), name, slept_from)
+            self.backend.pause(name, False)
+            self.watch.woke(self.backend.now(), name, slept_from)
 
         self._after(seconds, wake)
 
     def _delay(self, name: str, node: Node | None, event: model.Delay) -> None:
         for balancer in self._balancers if name in ("clients", "discovery") else (name,):
             self._excused(balancer, "its network is slow", event.for_s)
-        if node is not None and not self.stage.exact:
+        if node is not None and not self.backend.exact:
 
             def lag(n: Node, on: bool) -> None:
                 n.lag += event.ms / 1000 * (1 if on else -1)
 
             self._for_a_while(node, event.for_s, lag)
             return
-        self.stage.delay(name, event.ms / 1000)
-        self._after(event.for_s, lambda: self.stage.delay(name, -event.ms / 1000))
+        self.backend.delay(name, event.ms / 1000)
+        self._after(event.for_s, lambda: self.backend.delay(name, -event.ms / 1000))
 
     def _partition(self, event: model.Partition) -> None:
         names = [*(p.name for p in self._all_places), *self._balancers, "clients", "discovery"]
@@ -507,7 +507,7 @@
         for name in {*sides[0], *sides[1]}:
             if name in self._balancers:
                 self._excused(name, "cut off", event.for_s)
-        if not self.stage.exact:  # live, a node that is cut off stands still for all
+        if not self.backend.exact:  # live, a node that is cut off stands still for all
             nodes = next(side for side in sides if all(n in self._places for n in side))
             for name in nodes:
                 if (node := self._places[name].node) is not None:
@@ -515,11 +515,11 @@
             return
         pairs = [(a, b) for a in sides[0] for b in sides[1] if a != b]
         for a, b in pairs:
-            self.stage.cut(a, b, True)
+            self.backend.cut(a, b, True)
 
         def heal() -> None:
             for a, b in pairs:
-                self.stage.cut(a, b, False)
+                self.backend.cut(a, b, False)
 
         self._after(event.for_s, heal)
 
@@ -557,8 +557,8 @@
         node, place.node = place.node, None
         assert node is not None
         self._kill_balancer(f"b-{node.name}", "its node ended")
-        self.stage.run_as(node.name, node.close)
-        self.stage.kill(node.name)
+        self.backend.run_as(node.name, node.close)
+        self.backend.kill(node.name)
 
     def _start(self, place: _Place, name: str) -> None:
         if place.node is not None:
@@ -566,14 +566,14 @@
         self._say(f"{name} starts")
         self._stand(place, name, cold=True)
         place.entry = Entry(
-            name, place.tier.name, "active", place.number, self.stage.unix_ms(), self.stage.now()
+            name, place.tier.name, "active", place.number, self.backend.unix_ms(), self.backend.now()
         )
         self.registry.change(replace(place.entry))
 
     def _sample(self) -> None:
         holding = {p.name: p.node.machine.holding for p in self._all_places if p.node is not None}
         ready = sum(self.clients.front.is_ready(n) for n in self.clients.front.addresses)
-        self.night.samples.append(Sample(self.stage.now(), holding, ready))
+        self.night.samples.append(Sample(self.backend.now(), holding, ready))
         self._after(SAMPLE_S, self._sample)
 
 
