--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -21,7 +21,7 @@
 from passpost.operator.settings import AIM_PART
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal.model import Class, Contract, Script
-from passpost.rehearsal.speech import PlainSpeech, sample
+from passpost.rehearsal.speech import PlainRequestFormat, example_request
 from umberworks.rules import Balancer
 
 FROM_FILE = ("aim_ms", "deadline_ms", "effect", "window_ms", "worth", "late_share")
@@ -77,7 +77,7 @@
         if found is None:
             raise MismatchError(f"{key}.name", f"{application.name} has no class {cls.name!r}")
         _not_said(cls, FROM_FILE, key)
-        method, path = sample(found)
+        method, path = example_request(found)
         if method == "HEAD":
             raise MismatchError(key, "it takes HEAD only, whose answers have nothing that could be watched")
         if routes.find(method, path) is not found:
@@ -148,9 +148,9 @@
     return {v.removeprefix("env:"): SECRET for v in values if v.startswith("env:")}
 
 
-def speech(script: Script, file: File) -> PlainSpeech:
+def speech(script: Script, file: File) -> PlainRequestFormat:
     """How the night's clients and first tier speak."""
-    return PlainSpeech(application_of(script, file), file.health.path)
+    return PlainRequestFormat(application_of(script, file), file.health.path)
 
 
 def start(file: File, seed: str, host: Host = HOST, module: type[Balancer] = Balancer) -> Sidecar:
--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -11,7 +11,7 @@
 from passpost.rehearsal.http import GRACE_S, Pool, Result
 from passpost.rehearsal.model import Class, Script, Tenant
 from passpost.rehearsal.nodes import tell
-from passpost.rehearsal.speech import Speech
+from passpost.rehearsal.speech import RequestFormat
 from passpost.rehearsal.stage import Backend
 from passpost.rehearsal.watch import Watch
 
@@ -106,11 +106,11 @@
         script: Script,
         seed: int,
         excuse: Callable[[str, float], str],
-        speech: Speech,
+        speech: RequestFormat,
     ) -> None:
         self._backend, self._watch, self._script, self._excuse = backend, watch, script, excuse
         self._speech = speech
-        self.front = Front(backend, script.clients.notice_s, speech.ready)
+        self.front = Front(backend, script.clients.notice_s, speech.ready_path)
         pieces = script.clients.pieces
         self._pools = [Pool(backend, pieces, f"{seed} {i}") for i in range(script.clients.processes)]
         self._random = random.Random(f"clients {seed}")
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -30,7 +30,7 @@
 from passpost.operator.writer import render
 from passpost.rehearsal import carried, model
 from passpost.rehearsal.model import Script
-from passpost.rehearsal.stage import Backend, Config, Ending, Running
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config, Ending
 from passpost.rehearsal.world import Night, World
 
 T = TypeVar("T")
@@ -71,7 +71,7 @@
     return {n for n in names if any(fnmatchcase(n, p) for p in patterns)}
 
 
-class _Process(Running):
+class _Process(BalancerHandle):
     def __init__(
         self, backend: LiveBackend, name: str, config: Config, ended: Callable[[int | None], None]
     ) -> None:
@@ -155,7 +155,7 @@
     def run_as(self, machine: str, call: Callable[[], T]) -> T:
         return call()
 
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> Running:
+    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
         running = self.running[name] = _Process(self, name, config, ended)
         return running
 
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -12,7 +12,7 @@
 from passpost.rehearsal.http import Pool, Request, RequestConnection, Result, write_request
 from passpost.rehearsal.machine import Job, Machine
 from passpost.rehearsal.model import Class, Contract, Kind, Tier
-from passpost.rehearsal.speech import Asked, Speech
+from passpost.rehearsal.speech import ParsedRequest, RequestFormat
 from passpost.rehearsal.stage import Backend, listen
 from passpost.rehearsal.watch import Watch
 
@@ -45,7 +45,7 @@
 class _Work:
     """One request inside the node."""
 
-    def __init__(self, connection: _Connection, asked: Asked, cls: Class, number: int) -> None:
+    def __init__(self, connection: _Connection, asked: ParsedRequest, cls: Class, number: int) -> None:
         self.connection: _Connection | None = connection
         self.asked, self.cls, self.number = asked, cls, number
         self.txn = asked.txn
@@ -119,7 +119,7 @@
         effects: Effects,
         seed: int,
         cold: bool,
-        speech: Speech,
+        speech: RequestFormat,
     ) -> None:
         self._speech = speech
         self.backend, self.watch, self.name, self.tier, self.kind = backend, watch, name, tier, kind
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -31,7 +31,7 @@
     ended_at: float
 
 
-class Running(ABC):
+class BalancerHandle(ABC):
     """A balancer that has been started. What `launch` is given as `ended` hears its exit status once."""
 
     alive = True
@@ -72,7 +72,7 @@
         """Call something on a machine; its timers and connections belong to it."""
 
     @abstractmethod
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> Running:
+    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
         """Start a balancer on a machine of this name."""
 
     @abstractmethod
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.loop import Process, SimLoop, StuckError
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.network import Network, SimHost, SimTransport
-from passpost.rehearsal.stage import Backend, Config, Ending, Running
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config, Ending
 from passpost.rehearsal.world import Night, World
 from umberworks import interface
 from umberworks.rules import Balancer
@@ -52,7 +52,7 @@
     return Recorded
 
 
-class _Running(Running):
+class _Running(BalancerHandle):
     def __init__(
         self, backend: VirtualBackend, process: Process, ended: Callable[[int | None], None]
     ) -> None:
@@ -134,7 +134,7 @@
             self.loop.processes.append(process)
         return self.loop.run_as(process, call)
 
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> Running:
+    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
         process = self._processes[name] = Process(name)
         self.loop.processes.append(process)
         running = _Running(self, process, ended)
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -19,8 +19,8 @@
 from passpost.rehearsal.model import Kind, Script, Tier
 from passpost.rehearsal.nodes import Effects, Node
 from passpost.rehearsal.registry import Entry, Registry
-from passpost.rehearsal.speech import Speech
-from passpost.rehearsal.stage import Backend, Config, Running
+from passpost.rehearsal.speech import RequestFormat
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config
 from passpost.rehearsal.watch import Break, Watch
 
 WARM_UP_S = 20.0  # balancers that are not ready by then never will be
@@ -88,7 +88,7 @@
         ready_within: float | None = None,
     ) -> None:
         """`ready_within`: seconds after its start in which each front has to be ready; None: not looked at."""
-        speech = Speech()
+        speech = RequestFormat()
         if script.sidecar is not None:
             file = file or carried.read(script.sidecar.file)
             script, speech = carried.merged(script, file), carried.speech(script, file)
@@ -102,7 +102,7 @@
         self._tiers = {t.name: i for i, t in enumerate(script.tiers)}
         self._places: dict[str, _Place] = {}  # by the name of who stands there now
         self._all_places: list[_Place] = []
-        self._balancers: dict[str, Running] = {}
+        self._balancers: dict[str, BalancerHandle] = {}
         self._addresses: dict[str, Address] = {}
         self._configs: dict[str, Config] = {}
         self._tier_of_balancer: dict[str, int] = {}
@@ -226,7 +226,7 @@
                 self._effects,
                 self.seed,
                 cold,
-                self._speech if place.tier is self.script.tiers[0] else Speech(),
+                self._speech if place.tier is self.script.tiers[0] else RequestFormat(),
             ),
         )
         node.excuse = self._excuse  # type: ignore[method-assign]
@@ -381,7 +381,7 @@
 
         look()
 
-    def _signal(self, name: str, running: Running, what: str) -> None:
+    def _signal(self, name: str, running: BalancerHandle, what: str) -> None:
         """One more signal for a balancer that has had SIGTERM."""
         if not running.alive:
             return
--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -17,7 +17,7 @@
 from passpost.operator.checks import split
 from passpost.operator.model import Application, Class
 from passpost.operator.reader import load
-from passpost.rehearsal.speech import sample
+from passpost.rehearsal.speech import example_request
 from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").iterdir())
@@ -69,7 +69,7 @@
 
 def asked(cls: Class) -> tuple[str, dict[str, str], bytes]:
     headers = {cls.key_header: "k-1"} if cls.key_header is not None else {}
-    return sample(cls, "m7")[1], headers, b"x" * 2_000
+    return example_request(cls, "m7")[1], headers, b"x" * 2_000
 
 
 @pytest.mark.parametrize("folder", EXAMPLES, ids=lambda p: p.name)
