--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from passpost.host import Address
-from passpost.rehearsal.http import GRACE_S, Pool, Result
+from passpost.rehearsal.http import LATE_ANSWER_GRACE_S, ConnectionPool, Result
 from passpost.rehearsal.model import Class, Script, Tenant
 from passpost.rehearsal.nodes import tell
 from passpost.rehearsal.speech import RequestFormat
@@ -43,7 +43,7 @@
         self.addresses: dict[str, Address] = {}
         self._in: dict[str, None] = {}
         self._turn = 0
-        self._pool = Pool(backend)
+        self._pool = ConnectionPool(backend)
         self._starts: dict[str, int] = {}
         self.on_ready: Callable[[], None] = lambda: None
 
@@ -112,7 +112,9 @@
         self._speech = speech
         self.front = Front(backend, script.clients.notice_s, speech.ready_path)
         pieces = script.clients.pieces
-        self._pools = [Pool(backend, pieces, f"{seed} {i}") for i in range(script.clients.processes)]
+        self._pools = [
+            ConnectionPool(backend, pieces, f"{seed} {i}") for i in range(script.clients.processes)
+        ]
         self._random = random.Random(f"clients {seed}")
         # Arrivals are drawn apart from all else: what goes wrong must not change what is asked.
         self._arrivals = [random.Random(f"arrivals {seed} {i}") for i in range(len(self._pools))]
@@ -173,7 +175,7 @@
             self._end(job, "failed", "out of time")
             return
         pool = self._pools[process]
-        balancer = (pool.idle_balancer() if not unreached else None) or self.front.deal()
+        balancer = (pool.last_idle_balancer() if not unreached else None) or self.front.deal()
         if balancer is None:
             self._again(job, process, UNREACHED_AGAIN_S, "no balancer", unreached + 1)
             return
@@ -196,28 +198,30 @@
             return self._speech.write(cls, txn, max(due - now, 0.001), tenant, job.key, topic)
 
         def done(result: Result) -> None:
-            if result.how == "crossed" and not fresh:  # the same request once more, on a new connection
+            if (
+                result.end_reason == "crossed" and not fresh
+            ):  # the same request once more, on a new connection
                 self._watch.note(self._backend.now(), txn, "crossed a close; sent once more")
                 self._send(job, process, balancer, txn, due, unreached, fresh=True)
                 return
-            if result.how == "left":
+            if result.end_reason == "left":
                 self._watch.left(self._backend.now(), txn)
             else:
                 tell(self._backend, self._watch, txn, result, self._excuse(balancer, begun))
             self._ended(job, process, result, unreached)
 
-        wait = max(due - begun, 0.0) + GRACE_S
+        wait = max(due - begun, 0.0) + LATE_ANSWER_GRACE_S
         call = pool.call(balancer, self.front.addresses[balancer], data, wait, done, fresh or unreached > 0)
         if clients.impatient and self._moods.random() < clients.impatient:
             after = self._moods.uniform(0.0, max(due - begun, 0.0))
-            asyncio.get_running_loop().call_later(after, call.end, Result("left"))
+            asyncio.get_running_loop().call_later(after, call.finish, Result("left"))
 
     def _ended(self, job: Job, process: int, result: Result, unreached: int) -> None:
         clients, effect = self._script.clients, job.cls.effect
-        if result.how == "left":
+        if result.end_reason == "left":
             self._end(job, "failed", "left")
             return
-        if result.how == "unreached":
+        if result.end_reason == "unreached":
             self._again(job, process, UNREACHED_AGAIN_S, "unreached", unreached + 1)
             return
         status = result.answer.status if result.answer is not None else 0
@@ -225,7 +229,7 @@
             self._end(job, "served", "")
             return
         refused = status in (429, 503)
-        reason = "refused" if refused else f"failed {status}" if status else result.how
+        reason = "refused" if refused else f"failed {status}" if status else result.end_reason
         age = self._backend.now() - job.first
         may = refused or effect == "safe" or (effect == "keyed" and age < job.cls.window_ms / 1000)
         if not may or job.tries > clients.retries:
--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -16,7 +16,7 @@
 from passpost.rehearsal.stage import Backend, Ending
 
 MOST_PAUSE_S = 0.05  # between the pieces of a request
-GRACE_S = 0.15  # a client that has given up still listens for so long, for the rule on answers
+LATE_ANSWER_GRACE_S = 0.15  # a client that has given up still listens for so long, for the rule on answers
 
 
 @dataclass(slots=True)
@@ -28,8 +28,8 @@
     query: str
     headers: dict[str, str]
     body: bytes
-    begun: float
-    written: float
+    first_byte_sent_at: float
+    last_byte_sent_at: float
 
 
 class RequestConnection(asyncio.Protocol):
@@ -42,11 +42,11 @@
         self._url, self._headers, self._body = b"", dict[str, str](), b""
         self._begun = math.nan
 
-    def request_came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         """A whole request is there."""
         raise NotImplementedError
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         """The connection is over."""
 
     def reply(
@@ -81,7 +81,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """It is over."""
         self.transport = None
-        self.gone()
+        self.connection_closed()
 
     def data_received(self, data: bytes) -> None:
         """Bytes."""
@@ -110,10 +110,10 @@
         assert self.transport is not None
         path, _, query = self._url.decode("latin-1").partition("?")
         method = self._parser.get_method().decode()
-        written = self.backend.written_at(self.transport)
-        request = Request(method, path, query, self._headers, self._body, self._begun, written)
+        last_byte_sent_at = self.backend.written_at(self.transport)
+        request = Request(method, path, query, self._headers, self._body, self._begun, last_byte_sent_at)
         self._url, self._headers, self._body, self._begun = b"", {}, b"", math.nan
-        self.request_came(request)
+        self.request_received(request)
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,7 +124,7 @@
     answer; `silent`: nothing came in time; `spoilt`: what came was no answer.
     """
 
-    how: str
+    end_reason: str
     answer: Answer | None = None
 
     def retry_after_s(self) -> float:
@@ -143,7 +143,7 @@
         self.timer: asyncio.TimerHandle | None = None
         self.line: _Line | None = None
 
-    def end(self, result: Result) -> None:
+    def finish(self, result: Result) -> None:
         """Tell how it ended, once."""
         if self._done is None:
             return
@@ -152,7 +152,7 @@
             self.timer.cancel()
         line, self.line = self.line, None
         if line is not None:
-            line.over(result.how == "answer")
+            line.over(result.end_reason == "answer")
         done(result)
 
     def is_over(self) -> bool:
@@ -163,7 +163,7 @@
 class _Line(asyncio.Protocol):
     """A connection of ours."""
 
-    def __init__(self, pool: Pool, balancer: str) -> None:
+    def __init__(self, pool: ConnectionPool, balancer: str) -> None:
         self.pool, self.balancer = pool, balancer
         self.call: Call | None = None
         self._reader: AnswerReader | None = None
@@ -221,7 +221,7 @@
         self.pool.forget(self)
         transport, self._transport = self._transport, None
         if self.call is not None and transport is not None:
-            self.call.end(Result("crossed" if self._crossed(transport, exc) else "ended"))
+            self.call.finish(Result("crossed" if self._crossed(transport, exc) else "ended"))
 
     def _crossed(self, transport: asyncio.Transport, exc: Exception | None) -> bool:
         """Whether the request on it was not taken: not written whole, or not read."""
@@ -248,18 +248,18 @@
         try:
             answer = reader.feed(data)
         except BadAnswerError:
-            call.end(Result("spoilt"))
+            call.finish(Result("spoilt"))
             return
         if answer is None:
             return
         if answer.reusable:
             self.pool.rest(self)
-        call.end(Result("answer", answer))
+        call.finish(Result("answer", answer))
         if not answer.reusable:
             self.drop()
 
 
-class Pool:
+class ConnectionPool:
     """Connections of one process to balancers, kept while they are open. One request at a time on each."""
 
     def __init__(self, backend: Backend, pieces: float = 0.0, seed: str = "") -> None:
@@ -279,7 +279,7 @@
         """The time between two pieces."""
         return self._chance.uniform(0.001, MOST_PAUSE_S)
 
-    def idle_balancer(self) -> str | None:
+    def last_idle_balancer(self) -> str | None:
         """The balancer at the other end of the connection that was used last; None if none is free."""
         return next(reversed(self.idle)).balancer if self.idle else None
 
@@ -298,7 +298,7 @@
         """
         call = Call(done)
         loop = asyncio.get_running_loop()
-        call.timer = loop.call_later(wait, call.end, Result("silent"))
+        call.timer = loop.call_later(wait, call.finish, Result("silent"))
         line = None if fresh else next((x for x in reversed(self.idle) if x.balancer == balancer), None)
         if line is not None:
             del self.idle[line]
@@ -314,7 +314,7 @@
         try:
             await asyncio.get_running_loop().create_connection(lambda: line, *address)
         except OSError:
-            call.end(Result("unreached"))
+            call.finish(Result("unreached"))
             return
         if call.is_over():
             line.drop()
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from passpost.host import Address
-from passpost.rehearsal.http import Pool, Request, RequestConnection, Result, write_request
+from passpost.rehearsal.http import ConnectionPool, Request, RequestConnection, Result, write_request
 from passpost.rehearsal.machine import Job, Machine
 from passpost.rehearsal.model import Class, Contract, Kind, Tier
 from passpost.rehearsal.speech import ParsedRequest, RequestFormat
@@ -76,7 +76,7 @@
         if self.transport is not None:
             super().data_received(data)
 
-    def request_came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         if self._idle is not None:
             self._idle.cancel()
         self.node.take(self, request)
@@ -96,7 +96,7 @@
         if self.transport is not None and self.work is None:
             self.transport.close()
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         if self._idle is not None:
             self._idle.cancel()
         self.node.connections.pop(self, None)
@@ -137,7 +137,7 @@
         self.resets: list[float] = []
         self.spoils: list[float] = []
         self.next_tier: tuple[str, Address] | None = None  # its own balancer, where there is one
-        self._pool = Pool(backend)
+        self._pool = ConnectionPool(backend)
         self._calls = 0
         self.frozen, self.lag = 0, 0.0  # live nights: paused or cut off, and delayed
         self._late: deque[Callable[[], None]] = deque()
@@ -227,7 +227,7 @@
         work = _Work(connection, asked, cls, self._count)
         connection.work = work
         work.attempt = self.watch.attempt(
-            request.begun, request.written, now, txn, self.name, connection.balancer
+            request.first_byte_sent_at, request.last_byte_sent_at, now, txn, self.name, connection.balancer
         )
         work.due = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
         if connection.full:
@@ -313,7 +313,7 @@
             if self.dead:
                 return
             self._advance()
-            if result.how == "answer" and result.answer is not None and result.answer.status == 200:
+            if result.end_reason == "answer" and result.answer is not None and result.answer.status == 200:
                 self._worked(work)
             else:
                 self._fail(work)
@@ -361,7 +361,7 @@
 def tell(backend: Backend, watch: Watch, txn: str, result: Result, excuse: str) -> None:
     """What the watch hears of how a call ended."""
     now = backend.now()
-    if result.how == "answer" and result.answer is not None:
+    if result.end_reason == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
             watch.served(now, txn, result.answer.body)
@@ -369,17 +369,17 @@
             watch.refused(now, txn)
         else:
             watch.failed(now, txn, status)
-    elif result.how == "crossed":
+    elif result.end_reason == "crossed":
         watch.excused(now, txn, "crossed the close of its connection")
-    elif result.how == "unreached":
+    elif result.end_reason == "unreached":
         return  # never asked
     elif excuse:
-        watch.excused(now, txn, f"{result.how}: {excuse}")
+        watch.excused(now, txn, f"{result.end_reason}: {excuse}")
     else:
         watch.lost(
             now,
             txn,
             {"silent": "no answer in time", "ended": "closed with no whole answer"}.get(
-                result.how, "what came was no answer"
+                result.end_reason, "what came was no answer"
             ),
         )
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -49,10 +49,10 @@
         self.after = 0
         self.watched_at = -math.inf  # when a watch was last answered here
 
-    def request_came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         self.registry.call(self, request)
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         self.registry.connections.pop(self, None)
         if self in self.registry.watchers:
             del self.registry.watchers[self]
