--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -13,7 +13,7 @@
 
 from passpost.host import Address
 from passpost.http1 import Answer, AnswerReader, BadAnswerError
-from passpost.rehearsal.stage import Backend, Ending
+from passpost.rehearsal.stage import Backend, ConnectionEnd
 
 MOST_PAUSE_S = 0.05  # between the pieces of a request
 LATE_ANSWER_GRACE_S = 0.15  # a client that has given up still listens for so long, for the rule on answers
@@ -229,14 +229,14 @@
             return True
         if self._answer_begun:
             return False
-        ending = Ending(
+        ending = ConnectionEnd(
             balancer=self.balancer,
             known=self._calls > 1 or self._in_pieces,
             was_reset=isinstance(exc, ConnectionResetError),
             written_at=self._written_at,
             ended_at=self.pool.backend.now(),
         )
-        return self.pool.backend.crossed(transport, ending)
+        return self.pool.backend.closed_before_read(transport, ending)
 
     def data_received(self, data: bytes) -> None:
         """Bytes of the answer."""
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -30,7 +30,7 @@
 from passpost.operator.writer import render
 from passpost.rehearsal import carried, model
 from passpost.rehearsal.model import Script
-from passpost.rehearsal.stage import Backend, BalancerHandle, Config, Ending
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config, ConnectionEnd
 from passpost.rehearsal.world import Night, World
 
 T = TypeVar("T")
@@ -123,7 +123,7 @@
             self._write(config)
             self.process.send_signal(signal.SIGHUP)
 
-    def reload_unusable(self) -> None:
+    def reload_invalid(self) -> None:
         if self.alive:
             self._path.write_text(UNUSABLE, encoding="utf-8")
             self.process.send_signal(signal.SIGHUP)
@@ -139,7 +139,7 @@
 class LiveBackend(Backend):
     """The machine's clock and loopback."""
 
-    exact = False
+    simulated = False
     host = HOST
 
     def __init__(self, folder: Path, workers: int = 1) -> None:
@@ -174,7 +174,7 @@
         if running is not None and running.alive:
             running.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
-    def cut(self, a: str, b: str, on: bool) -> None:
+    def partition(self, a: str, b: str, on: bool) -> None:
         raise AssertionError("the world freezes nodes instead")
 
     def delay(self, machine: str, seconds: float) -> None:
@@ -189,7 +189,7 @@
     def written_at(self, transport: asyncio.BaseTransport) -> float:
         return self.now()
 
-    def crossed(self, transport: asyncio.BaseTransport, ending: Ending) -> bool:
+    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
         # A balancer that was killed had closed nothing until then: what was written to it before is lost.
         if ending.written_at < self.killed_at.get(ending.balancer, -math.inf):
             return False
@@ -205,7 +205,7 @@
         text = path.read_text(encoding="utf-8", errors="replace")
         for traceback in text.split("Traceback (most recent call last):")[1:]:
             lines = [line for line in traceback.splitlines() if line and not line.startswith(" ")]
-            found.append(f"{path.stem}: {lines[0] if lines else 'a traceback that is cut off'}")
+            found.append(f"{path.stem}: {lines[0] if lines else 'a traceback that is partition off'}")
     return found
 
 
--- a/passpost/rehearsal/loop.py
+++ b/passpost/rehearsal/loop.py
@@ -60,13 +60,13 @@
     process: Process
 
 
-class Wire(Protocol):
+class NetworkLayer(Protocol):
     """The network that the loop's connections run on (network.py)."""
 
     def connect(self, factory: Callable[[], Any], host: str, port: int) -> Coroutine[Any, Any, Any]:
         """As the loop's `create_connection`."""
 
-    def adopt(self, factory: Callable[[], Any], socket: Any) -> Coroutine[Any, Any, Any]:
+    def connect_accepted(self, factory: Callable[[], Any], socket: Any) -> Coroutine[Any, Any, Any]:
         """As the loop's `connect_accepted_socket`."""
 
     def watch(self, listener: Any, callback: Callable[[], object] | None) -> bool:
@@ -85,7 +85,7 @@
         self._stopping, self._closed = False, False
         self.world = self.current = Process("world")
         self.processes: list[Process] = []
-        self.wire: Wire | None = None
+        self.network_layer: NetworkLayer | None = None
         self.steps = 0
         self.faults: list[str] = []  # what no handler caught, in plain words
 
@@ -271,20 +271,20 @@
         self, protocol_factory: Callable[[], Any], host: str, port: int, **_: Any
     ) -> Any:
         """Connect on the simulated network."""
-        assert self.wire is not None
-        return await self.wire.connect(protocol_factory, host, port)
+        assert self.network_layer is not None
+        return await self.network_layer.connect(protocol_factory, host, port)
 
     async def connect_accepted_socket(self, protocol_factory: Callable[[], Any], sock: Any, **_: Any) -> Any:
         """Give an accepted connection its protocol."""
-        assert self.wire is not None
-        return await self.wire.adopt(protocol_factory, sock)
+        assert self.network_layer is not None
+        return await self.network_layer.connect_accepted(protocol_factory, sock)
 
     def add_reader(self, fd: Any, callback: Callable[..., Any], *args: Any) -> None:  # type: ignore[override]
         """Call whenever a listener has a connection that waits."""
-        assert self.wire is not None
-        self.wire.watch(fd, lambda: callback(*args))
+        assert self.network_layer is not None
+        self.network_layer.watch(fd, lambda: callback(*args))
 
     def remove_reader(self, fd: Any) -> bool:
         """Call no more."""
-        assert self.wire is not None
-        return self.wire.watch(fd, None)
+        assert self.network_layer is not None
+        return self.network_layer.watch(fd, None)
--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -31,8 +31,8 @@
 class _End:
     """One end of a connection: what its kernel holds, and the transport once there is a protocol."""
 
-    def __init__(self, net: Network, process: Process, address: Address) -> None:
-        self.net, self.process, self.address = net, process, address
+    def __init__(self, network: Network, process: Process, address: Address) -> None:
+        self.network, self.process, self.address = network, process, address
         self.peer: _End = self
         self.inbox: deque[tuple[bytes, float]] = deque()  # arrived and unread, each with when it was sent
         self.inbox_size = 0
@@ -48,12 +48,12 @@
 
     def room(self) -> int:
         """How many bytes would be taken now."""
-        return max(self.net.window - self.in_flight, 0)
+        return max(self.network.window - self.in_flight, 0)
 
     def send(self, data: bytes) -> None:
         """Hand bytes to the network."""
         self.in_flight += len(data)
-        sent = self.net.loop.time()
+        sent = self.network.loop.time()
         self._pass(lambda: self.peer._arrived(data, sent))
 
     def send_eof(self) -> None:
@@ -68,18 +68,18 @@
         self._pass(self.peer._reset_arrived)
 
     def _pass(self, arrive: Callable[[], None]) -> None:
-        net, now = self.net, self.net.loop.time()
+        network, now = self.network, self.network.loop.time()
         # Never at the same moment as what went before: the seed would be free to swap them.
-        at = max(now + net.latency(self.process.name, self.peer.process.name), self.last_arrival + 1e-9)
+        at = max(now + network.latency(self.process.name, self.peer.process.name), self.last_arrival + 1e-9)
         self.last_arrival = at
 
         def come() -> None:
-            if net.is_cut(self.process.name, self.peer.process.name):
-                net.held.append((self.process.name, self.peer.process.name, come))
+            if network.is_partitioned(self.process.name, self.peer.process.name):
+                network.held.append((self.process.name, self.peer.process.name, come))
             else:
                 arrive()
 
-        net.loop.run_as(net.loop.world, lambda: net.loop.call_at(at, come))
+        network.loop.run_as(network.loop.world, lambda: network.loop.call_at(at, come))
 
     # ---- arriving; the kernel works on while the process is paused
 
@@ -130,8 +130,8 @@
             self._pass_back(transport._flush)
 
     def _pass_back(self, call: Callable[[], None]) -> None:
-        loop = self.net.loop
-        delay = self.net.latency(self.peer.process.name, self.process.name)
+        loop = self.network.loop
+        delay = self.network.latency(self.peer.process.name, self.process.name)
         loop.run_as(self.process, lambda: loop.call_later(delay, call))
 
     def let_go(self, reset: bool = False) -> None:
@@ -139,7 +139,7 @@
         if self.closed:
             return
         self.closed = True
-        self.net.forget(self)
+        self.network.forget(self)
         if self.reset:
             return
         if reset or self.inbox:
@@ -153,23 +153,23 @@
 class SimSocket:
     """An accepted connection before it has a transport."""
 
-    def __init__(self, end: _End) -> None:
-        self.end = end
+    def __init__(self, endpoint: _End) -> None:
+        self.endpoint = endpoint
 
     def setblocking(self, flag: bool) -> None:
         """Nothing blocks here."""
 
     def close(self) -> None:
         """Let go of it."""
-        self.end.let_go()
+        self.endpoint.let_go()
 
 
 class SimListener:
     """A listening socket; it satisfies `passpost.host.Listener`."""
 
-    def __init__(self, net: Network, address: Address, backlog: int) -> None:
-        self._net, self._address, self._backlog = net, address, backlog
-        self.process = net.loop.current
+    def __init__(self, network: Network, address: Address, backlog: int) -> None:
+        self._network, self._address, self._backlog = network, address, backlog
+        self.process = network.loop.current
         self._waiting: deque[_End] = deque()
         self._refused_room: deque[Callable[[], None]] = deque()  # attempts that the full queue does not hear
         self._callback: Callable[[], object] | None = None
@@ -190,10 +190,10 @@
             raise OSError("the listener is closed")
         if not self._waiting:
             raise BlockingIOError
-        end = self._waiting.popleft()
+        endpoint = self._waiting.popleft()
         if self._refused_room:
             self._refused_room.popleft()()
-        return SimSocket(end), end.peer.address
+        return SimSocket(endpoint), endpoint.peer.address
 
     def close(self) -> None:
         """Listen no more: what waits unaccepted is reset."""
@@ -201,9 +201,9 @@
             return
         self.open = False
         self._callback = None
-        del self._net.listeners[self._address]
-        for end in self._waiting:
-            end.let_go(reset=True)
+        del self._network.listeners[self._address]
+        for endpoint in self._waiting:
+            endpoint.let_go(reset=True)
         self._waiting.clear()
 
     def has_room(self) -> bool:
@@ -214,9 +214,9 @@
         """Knock again once there is room."""
         self._refused_room.append(knock)
 
-    def come(self, end: _End) -> None:
+    def come(self, endpoint: _End) -> None:
         """A connection is up and waits to be accepted."""
-        self._waiting.append(end)
+        self._waiting.append(endpoint)
         self._poll()
 
     def watch(self, callback: Callable[[], object] | None) -> bool:
@@ -228,7 +228,7 @@
     def _poll(self) -> None:
         if self._callback is not None and self._waiting and not self._called and self.process.alive:
             self._called = True
-            loop = self._net.loop
+            loop = self._network.loop
             loop.run_as(self.process, lambda: loop.call_at(loop.time(), self._call))
 
     def _call(self) -> None:
@@ -241,24 +241,24 @@
 class SimTransport(asyncio.Transport):
     """A connection as a protocol sees it."""
 
-    def __init__(self, net: Network, end: _End, protocol: Any) -> None:
+    def __init__(self, network: Network, endpoint: _End, protocol: Any) -> None:
         super().__init__()
-        self._net, self._loop, self.end = net, net.loop, end
+        self._network, self._loop, self.endpoint = network, network.loop, endpoint
         self._protocol = protocol
         self._buffer = bytearray()
         self._high, self._low = HIGH_WATER, HIGH_WATER // 4
         self._protocol_paused, self._reading, self._scheduled = False, True, False
         self._closing, self._lost, self._eof_due = False, False, False
-        end.transport = self
+        endpoint.transport = self
 
     # ---- asyncio's side
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         """`peername`, and `process`, the name of the process at the other end."""
         if name == "peername":
-            return self.end.peer.address
+            return self.endpoint.peer.address
         if name == "process":
-            return self.end.peer.process.name
+            return self.endpoint.peer.process.name
         return default
 
     def set_protocol(self, protocol: Any) -> None:
@@ -306,9 +306,9 @@
 
     def write(self, data: Any) -> None:
         """Send, as far as there is room at once."""
-        if self._lost or self._eof_due or not data or self.end.closed or not self.end.process.alive:
+        if self._lost or self._eof_due or not data or self.endpoint.closed or not self.endpoint.process.alive:
             return
-        if self.end.reset:  # the write fails; the loop tells of it next
+        if self.endpoint.reset:  # the write fails; the loop tells of it next
             self._readable()
             return
         self._buffer += data
@@ -329,7 +329,7 @@
 
     def close(self) -> None:
         """Send what is unsent, then end."""
-        if self._closing or not self.end.process.alive:
+        if self._closing or not self.endpoint.process.alive:
             return
         self._closing = True
         if not self._buffer:
@@ -337,7 +337,7 @@
 
     def abort(self) -> None:
         """End at once, whatever is unsent."""
-        if not self.end.process.alive:
+        if not self.endpoint.process.alive:
             return  # what a dead process's garbage still does has no effect
         self._closing = True
         self._buffer.clear()
@@ -347,13 +347,13 @@
     # ---- the network's side
 
     def _push(self) -> None:
-        room = self.end.room()
+        room = self.endpoint.room()
         if room and self._buffer:
             data = bytes(self._buffer[:room])
             del self._buffer[:room]
-            self.end.send(data)
+            self.endpoint.send(data)
         if self._eof_due and not self._buffer:
-            self.end.send_eof()
+            self.endpoint.send_eof()
 
     def _flush(self) -> None:
         """The peer has read: send on."""
@@ -368,46 +368,46 @@
 
     def _readable(self) -> None:
         """Have the loop look at it, in its process's turn; at this moment's other events the seed decides."""
-        if not self._scheduled and not self._lost and self.end.process.alive:
+        if not self._scheduled and not self._lost and self.endpoint.process.alive:
             self._scheduled = True
             loop = self._loop
-            loop.run_as(self.end.process, lambda: loop.call_at(loop.time(), self._read))
+            loop.run_as(self.endpoint.process, lambda: loop.call_at(loop.time(), self._read))
 
     def _read(self) -> None:
         self._scheduled = False
-        end = self.end
+        endpoint = self.endpoint
         if self._lost:
             return
-        if end.reset:
+        if endpoint.reset:
             self._closing = True
             self._buffer.clear()
             self._end(ConnectionResetError("the connection was reset"))
             return
         if self._closing or not self._reading:
             return
-        if end.inbox:
-            data = end.take(self._net.piece(end.inbox_size))
+        if endpoint.inbox:
+            data = endpoint.take(self._network.piece(endpoint.inbox_size))
             self._protocol.data_received(data)
-            if end.inbox or end.got_eof:
+            if endpoint.inbox or endpoint.got_eof:
                 self._readable()
-        elif end.got_eof and not end.told_eof:
-            end.told_eof = True
+        elif endpoint.got_eof and not endpoint.told_eof:
+            endpoint.told_eof = True
             if not self._protocol.eof_received():
                 self.close()
 
     def is_told(self) -> bool:
         """Whether bytes, an end or a reset lie there unread."""
-        return bool(self.end.inbox) or self.has_ended()
+        return bool(self.endpoint.inbox) or self.has_ended()
 
     def has_ended(self) -> bool:
         """Whether the other side sends no more."""
-        return self.end.got_eof or self.end.reset
+        return self.endpoint.got_eof or self.endpoint.reset
 
     def _end(self, error: Exception | None) -> None:
         if self._lost:
             return
         self._lost = True
-        self.end.let_go()
+        self.endpoint.let_go()
         self._protocol.connection_lost(error)
 
 
@@ -422,25 +422,25 @@
         self._random = random.Random(f"network {seed}")
         self.listeners: dict[Address, SimListener] = {}
         self.extra: dict[str, float] = {}  # seconds more, one way, to and from a machine
-        self._cuts: dict[frozenset[str], int] = {}
+        self._partitions: dict[frozenset[str], int] = {}
         self.held: list[tuple[str, str, Callable[[], None]]] = []
         self._ends: dict[Process, dict[_End, None]] = {}
         self._ports = 40_000
-        loop.wire = self
+        loop.network_layer = self
 
     # ---- faults
 
-    def cut(self, a: str, b: str) -> None:
+    def partition(self, a: str, b: str) -> None:
         """Nothing passes between two machines; cuts may overlap."""
         pair = frozenset((a, b))
-        self._cuts[pair] = self._cuts.get(pair, 0) + 1
+        self._partitions[pair] = self._partitions.get(pair, 0) + 1
 
     def heal(self, a: str, b: str) -> None:
         """One cut is over; after the last of them what was sent arrives."""
         pair = frozenset((a, b))
-        self._cuts[pair] = self._cuts.get(pair, 1) - 1
-        if self._cuts[pair] <= 0:
-            del self._cuts[pair]
+        self._partitions[pair] = self._partitions.get(pair, 1) - 1
+        if self._partitions[pair] <= 0:
+            del self._partitions[pair]
             held, self.held = self.held, []
             for src, dst, come in held:
                 if frozenset((src, dst)) == pair:
@@ -448,22 +448,22 @@
                 else:
                     self.held.append((src, dst, come))
 
-    def is_cut(self, a: str, b: str) -> bool:
+    def is_partitioned(self, a: str, b: str) -> bool:
         """Whether nothing passes between them."""
-        return bool(self._cuts) and frozenset((a, b)) in self._cuts
+        return bool(self._partitions) and frozenset((a, b)) in self._partitions
 
-    def vanish(self, process: Process) -> None:
+    def drop_process(self, process: Process) -> None:
         """A process has died: its listeners are gone and its connections reset."""
         for listener in [x for x in self.listeners.values() if x.process is process]:
             listener.close()
-        for end in self._ends.pop(process, {}):
-            end.let_go(reset=True)
+        for endpoint in self._ends.pop(process, {}):
+            endpoint.let_go(reset=True)
 
     # ---- what ends and the loop ask
 
-    def forget(self, end: _End) -> None:
+    def forget(self, endpoint: _End) -> None:
         """Its process has let go of it: a long night must not grow by what is over."""
-        self._ends.get(end.process, {}).pop(end, None)
+        self._ends.get(endpoint.process, {}).pop(endpoint, None)
 
     def latency(self, src: str, dst: str) -> float:
         """Seconds from one machine to the other."""
@@ -502,7 +502,7 @@
         local = ("127.0.0.1", self._ports)
 
         def knock() -> None:
-            if self.is_cut(mine.name, there):
+            if self.is_partitioned(mine.name, there):
                 self.held.append((mine.name, there, knock))
                 return
             listener = self.listeners.get((host, port))
@@ -516,8 +516,8 @@
                 far = _End(self, listener.process, (host, port))
                 near = _End(self, mine, local)
                 near.peer, far.peer = far, near
-                for end in (near, far):
-                    self._ends.setdefault(end.process, {})[end] = None
+                for endpoint in (near, far):
+                    self._ends.setdefault(endpoint.process, {})[endpoint] = None
                 listener.come(far)
                 answer(near)
 
@@ -538,13 +538,15 @@
         loop.run_as(loop.world, lambda: loop.call_later(self.latency(mine.name, there), knock))
         return await self._equip(factory, await future)
 
-    async def adopt(self, factory: Callable[[], Any], socket: SimSocket) -> tuple[SimTransport, Any]:
+    async def connect_accepted(
+        self, factory: Callable[[], Any], socket: SimSocket
+    ) -> tuple[SimTransport, Any]:
         """A transport for an accepted connection."""
-        return await self._equip(factory, socket.end)
+        return await self._equip(factory, socket.endpoint)
 
-    async def _equip(self, factory: Callable[[], Any], end: _End) -> tuple[SimTransport, Any]:
+    async def _equip(self, factory: Callable[[], Any], endpoint: _End) -> tuple[SimTransport, Any]:
         protocol = factory()
-        transport = SimTransport(self, end, protocol)
+        transport = SimTransport(self, endpoint, protocol)
         protocol.connection_made(transport)
         transport._readable()
         return transport, protocol
@@ -553,9 +555,11 @@
 class SimHost(Host):
     """`passpost.host.Host` for the processes of a night."""
 
-    def __init__(self, net: Network, process: Process | None = None, unix_at_start: float = 1.8e9) -> None:
-        loop = net.loop
-        self._net = net
+    def __init__(
+        self, network: Network, process: Process | None = None, unix_at_start: float = 1.8e9
+    ) -> None:
+        loop = network.loop
+        self._network = network
         self.monotonic = loop.time
 
         def unix() -> float:
@@ -565,7 +569,7 @@
 
     def listen(self, address: Address, backlog: int) -> SimListener:
         """A listener on the simulated network."""
-        return self._net.listen(address, backlog)
+        return self._network.listen(address, backlog)
 
     def watcher(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
         """Whether something lies there unread."""
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
+class ConnectionEnd:
     """How a connection ended under a request."""
 
     balancer: str  # at the other end
@@ -49,7 +49,7 @@
         """Replace its file and send SIGHUP."""
 
     @abstractmethod
-    def reload_unusable(self) -> None:
+    def reload_invalid(self) -> None:
         """Replace its file by one that can't be used and send SIGHUP."""
 
     @abstractmethod
@@ -60,7 +60,7 @@
 class Backend(ABC):
     """One way to play a night. Times are seconds since `begin`."""
 
-    exact: bool  # whether bytes carry the moment at which they were written
+    simulated: bool  # whether bytes carry the moment at which they were written
     host: Host
 
     @abstractmethod
@@ -88,7 +88,7 @@
         """Stop it, or let it go on."""
 
     @abstractmethod
-    def cut(self, a: str, b: str, on: bool) -> None:
+    def partition(self, a: str, b: str, on: bool) -> None:
         """Nothing passes between two machines, or again all does."""
 
     @abstractmethod
@@ -108,7 +108,7 @@
         """When the bytes that are being read were written; now, where that can't be seen."""
 
     @abstractmethod
-    def crossed(self, transport: asyncio.BaseTransport, ending: Ending) -> bool:
+    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
         """Whether the other side closed without having read all that we sent."""
 
 
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.loop import Process, SimLoop, StuckError
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.network import Network, SimHost, SimTransport
-from passpost.rehearsal.stage import Backend, BalancerHandle, Config, Ending
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config, ConnectionEnd
 from passpost.rehearsal.world import Night, World
 from umberworks import interface
 from umberworks.rules import Balancer
@@ -77,7 +77,7 @@
     def interrupt(self) -> None:
         self.terminate()
 
-    def reload_unusable(self) -> None:
+    def reload_invalid(self) -> None:
         if self.alive and isinstance(self.node, Node):
             self._backend.loop.run_as(self._process, self.node.reload_failed)
 
@@ -110,15 +110,17 @@
 class VirtualBackend(Backend):
     """Simulated clock, network and processes."""
 
-    exact = True
+    simulated = True
 
     def __init__(
         self, script: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
         self.loop = SimLoop(seed)  # type: ignore[abstract]  # what it lacks, no balancer uses
         wires = script.network
-        self.net = Network(self.loop, seed, wires.latency_ms / 1000, wires.jitter_ms / 1000, wires.split)
-        self.host = SimHost(self.net, self.loop.world)
+        self.simulated_network = Network(
+            self.loop, seed, wires.latency_ms / 1000, wires.jitter_ms / 1000, wires.split
+        )
+        self.host = SimHost(self.simulated_network, self.loop.world)
         self._seed, self._sink, self._module = seed, sink, module
         self._processes: dict[str, Process] = {}
         self._ports = 7_000
@@ -142,7 +144,7 @@
         if self._sink is not None:
             module = recorded(module, name, self.now, self._sink)
 
-        host, seed = SimHost(self.net, process), f"{self._seed} {name} {self.now()}"
+        host, seed = SimHost(self.simulated_network, process), f"{self._seed} {name} {self.now()}"
 
         def start() -> None:
             try:
@@ -164,7 +166,7 @@
     def bury(self, process: Process) -> None:
         """A process is dead: nothing of it runs any more, and its connections are reset."""
         self.loop.kill(process)
-        self.net.vanish(process)
+        self.simulated_network.drop_process(process)
         if self._processes.get(process.name) is process:
             del self._processes[process.name]
 
@@ -180,11 +182,11 @@
             else:
                 self.loop.resume(process)
 
-    def cut(self, a: str, b: str, on: bool) -> None:
-        (self.net.cut if on else self.net.heal)(a, b)
+    def partition(self, a: str, b: str, on: bool) -> None:
+        (self.simulated_network.partition if on else self.simulated_network.heal)(a, b)
 
     def delay(self, machine: str, seconds: float) -> None:
-        self.net.extra[machine] = self.net.extra.get(machine, 0.0) + seconds
+        self.simulated_network.extra[machine] = self.simulated_network.extra.get(machine, 0.0) + seconds
 
     def set_clock(self, machine: str, by: float) -> None:
         if (process := self._processes.get(machine)) is not None:
@@ -195,11 +197,11 @@
 
     def written_at(self, transport: asyncio.BaseTransport) -> float:
         assert isinstance(transport, SimTransport)
-        return transport.end.sent_at
+        return transport.endpoint.sent_at
 
-    def crossed(self, transport: asyncio.BaseTransport, ending: Ending) -> bool:
+    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
         assert isinstance(transport, SimTransport)
-        return transport.end.in_flight > 0  # on their way still, or unread when it closed
+        return transport.endpoint.in_flight > 0  # on their way still, or unread when it closed
 
 
 class _Faults(logging.Handler):
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -394,7 +394,7 @@
             case "hup":
                 running.reload(self._configs[name])
             case "bad-hup":
-                running.reload_unusable()
+                running.reload_invalid()
 
     def _reload(self, name: str) -> None:
         running = self._balancers.get(name)
@@ -470,7 +470,7 @@
     def _pause(self, name: str, node: Node | None, seconds: float) -> None:
         if name in self._balancers:
             self._excused(name, "paused", seconds)
-        if node is not None and not self.backend.exact:
+        if node is not None and not self.backend.simulated:
             self._for_a_while(node, seconds, lambda n, on: n.freeze(on))
             return
         if node is not None:
@@ -490,7 +490,7 @@
     def _delay(self, name: str, node: Node | None, event: model.Delay) -> None:
         for balancer in self._balancers if name in ("clients", "discovery") else (name,):
             self._excused(balancer, "its network is slow", event.for_s)
-        if node is not None and not self.backend.exact:
+        if node is not None and not self.backend.simulated:
 
             def lag(n: Node, on: bool) -> None:
                 n.lag += event.ms / 1000 * (1 if on else -1)
@@ -507,7 +507,7 @@
         for name in {*sides[0], *sides[1]}:
             if name in self._balancers:
                 self._excused(name, "cut off", event.for_s)
-        if not self.backend.exact:  # live, a node that is cut off stands still for all
+        if not self.backend.simulated:  # live, a node that is cut off stands still for all
             nodes = next(side for side in sides if all(n in self._places for n in side))
             for name in nodes:
                 if (node := self._places[name].node) is not None:
@@ -515,11 +515,11 @@
             return
         pairs = [(a, b) for a in sides[0] for b in sides[1] if a != b]
         for a, b in pairs:
-            self.backend.cut(a, b, True)
+            self.backend.partition(a, b, True)
 
         def heal() -> None:
             for a, b in pairs:
-                self.backend.cut(a, b, False)
+                self.backend.partition(a, b, False)
 
         self._after(event.for_s, heal)
 
--- a/tests/rehearsal/test_network.py
+++ b/tests/rehearsal/test_network.py
@@ -52,22 +52,22 @@
 def between(test: Test, seed: int = 1, split: float = 0.0, window: int = 1000) -> None:
     """Run a test with a connection that is up: the network, the client's side, the server's."""
     loop = SimLoop(seed)  # type: ignore[abstract]
-    net = Network(loop, seed, 0.001, 0.0005, split, window)
+    network = Network(loop, seed, 0.001, 0.0005, split, window)
 
     async def main() -> None:
         server = Side()
-        loop.spawn("server", lambda: listen(SimHost(net), ADDRESS, lambda: server))
+        loop.spawn("server", lambda: listen(SimHost(network), ADDRESS, lambda: server))
         client = Side()
         await loop.create_connection(lambda: client, *ADDRESS)
         await asyncio.sleep(0.1)
-        await test(net, client, server)
+        await test(network, client, server)
 
     loop.run(main())
     assert loop.faults == []
 
 
 def test_the_first_byte_that_is_not_taken_pauses_the_writer_at_once() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         client.transport.set_write_buffer_limits(high=0)
         server.transport.pause_reading()
         client.transport.write(b"x" * 1000)
@@ -84,7 +84,7 @@
 
 
 def test_half_closed_bytes_still_come_the_other_way() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         client.transport.write(b"question")
         client.transport.write_eof()
         await asyncio.sleep(0.1)
@@ -98,7 +98,7 @@
 
 
 def test_a_close_sends_what_is_unsent_first() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         client.transport.write(b"z" * 5000)  # five windows
         client.transport.close()
         await asyncio.sleep(1)
@@ -109,7 +109,7 @@
 
 
 def test_an_abort_drops_what_is_unsent() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         client.transport.write(b"z" * 5000)
         client.transport.abort()
         await asyncio.sleep(1)
@@ -119,7 +119,7 @@
 
 
 def test_closing_with_bytes_unread_resets_and_a_reset_throws_unread_bytes_away() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         server.transport.pause_reading()
         client.transport.pause_reading()
         client.transport.write(b"never read")
@@ -130,25 +130,25 @@
         client.transport.resume_reading()
         await asyncio.sleep(0.1)
         assert (client.data, client.log) == (b"", ["reset"])
-        assert client.transport.end.in_flight > 0  # it was never read
+        assert client.transport.endpoint.in_flight > 0  # it was never read
 
     between(test)
 
 
 def test_bytes_that_cross_a_close_count_as_never_read() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         client.keep_open = False
         server.transport.close()
         client.transport.write(b"crosses it")
         await asyncio.sleep(0.1)
         assert client.log[0] == "eof" and client.log[-1] in ("closed", "reset")
-        assert client.transport.end.in_flight > 0
+        assert client.transport.endpoint.in_flight > 0
 
     between(test)
 
 
 def test_writing_to_a_closed_connection_is_answered_with_a_reset() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         server.transport.close()
         await asyncio.sleep(0.1)
         assert client.log == ["eof"]
@@ -160,30 +160,30 @@
 
 
 def test_a_killed_process_resets_its_connections_and_is_refused() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
-        process = server.transport.end.process
-        net.loop.kill(process)
-        net.vanish(process)
+    async def test(network: Network, client: Side, server: Side) -> None:
+        process = server.transport.endpoint.process
+        network.loop.kill(process)
+        network.drop_process(process)
         await asyncio.sleep(0.1)
         assert client.log == ["reset"] and server.log == []
         with pytest.raises(ConnectionRefusedError):
-            await net.loop.create_connection(Side, *ADDRESS)
+            await network.loop.create_connection(Side, *ADDRESS)
 
     between(test)
 
 
 def test_what_a_cut_holds_up_arrives_in_order_after_it() -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
-        net.cut("world", "server")
-        net.cut("world", "server")
+    async def test(network: Network, client: Side, server: Side) -> None:
+        network.partition("world", "server")
+        network.partition("world", "server")
         client.transport.write(b"one ")
         client.transport.write(b"two")
-        late = asyncio.ensure_future(net.loop.create_connection(Side, *ADDRESS))
+        late = asyncio.ensure_future(network.loop.create_connection(Side, *ADDRESS))
         await asyncio.sleep(5)
-        net.heal("world", "server")  # of two
+        network.heal("world", "server")  # of two
         await asyncio.sleep(5)
         assert server.data == b"" and not late.done()
-        net.heal("world", "server")
+        network.heal("world", "server")
         await asyncio.sleep(0.1)
         assert server.data == b"one two" and late.done()
 
@@ -192,10 +192,10 @@
 
 def test_a_full_queue_hears_nobody_until_there_is_room() -> None:
     loop = SimLoop(1)  # type: ignore[abstract]
-    net = Network(loop, 1, 0.001, 0.0, 0.0)
+    network = Network(loop, 1, 0.001, 0.0, 0.0)
 
     async def main() -> None:
-        listener = net.listen(ADDRESS, 2)
+        listener = network.listen(ADDRESS, 2)
         waiting = [asyncio.ensure_future(loop.create_connection(Side, *ADDRESS)) for _ in range(3)]
         await asyncio.sleep(1)
         assert [w.done() for w in waiting].count(True) == 2  # up, though nobody has accepted them
@@ -213,7 +213,7 @@
 def test_a_timer_and_a_byte_of_one_moment_come_in_either_order() -> None:
     def first(seed: int) -> str:
         loop = SimLoop(seed)  # type: ignore[abstract]
-        net = Network(loop, seed, 1.0, 0.0, 0.0)
+        network = Network(loop, seed, 1.0, 0.0, 0.0)
         order: list[str] = []
 
         class Noting(Side):
@@ -221,7 +221,7 @@
                 order.append("byte")
 
         async def main() -> None:
-            listen(SimHost(net), ADDRESS, Noting)
+            listen(SimHost(network), ADDRESS, Noting)
             client = Side()
             await loop.create_connection(lambda: client, *ADDRESS)
             at = loop.time()
@@ -247,7 +247,7 @@
 def test_all_bytes_arrive_once_and_in_order_and_then_the_end(
     chunks: list[bytes], seed: int, split: float, window: int
 ) -> None:
-    async def test(net: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: Side, server: Side) -> None:
         for chunk in chunks:
             client.transport.write(chunk)
         client.transport.close()
