--- a/passpost/callers/connection.py
+++ b/passpost/callers/connection.py
@@ -15,7 +15,7 @@
 
 from passpost.engine import Engine
 from passpost.host import Host
-from passpost.http1 import MAX_HEAD, Answer, Headers, end_to_end, write_headers
+from passpost.http1 import MAX_HEAD_BYTES, Answer, Headers, end_to_end, write_headers
 from passpost.streams import Sink, Source, Upload
 from passpost.upstreams.attempt import Outgoing
 from passpost.validation import BadRequestError, Call, Check
@@ -116,7 +116,7 @@
             self._connection.write(b"0\r\n\r\n")
         self._connection.finish_long()
 
-    def cut(self) -> None:
+    def truncate(self) -> None:
         """The rest does not come: the connection ends short of the length, or of the last chunk, or by a reset."""
         self._connection.abort(reset=self.to_the_end)
 
@@ -155,7 +155,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A caller has connected."""
         self._transport = cast(asyncio.Transport, transport)  # uvloop's do not derive from it
-        self._ending = self._server.host.ending(transport)
+        self._ending = self._server.host.end_probe(transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The caller has gone, or we have closed."""
@@ -170,7 +170,7 @@
         self._release()
         if self._number is not None:
             number, self._number = self._number, None
-            self._engine.left(number)
+            self._engine.client_disconnected(number)
 
     def lets_go(self) -> bool:
         """Whether its caller has left, so that the open request's id may be used again."""
@@ -205,7 +205,7 @@
                 self._waiting[-1].keep_alive = False
         except httptools.HttpParserError:
             self._bad = self._bad or 400
-        if self._in_head and self._head_size > MAX_HEAD:
+        if self._in_head and self._head_size > MAX_HEAD_BYTES:
             self._bad = self._bad or 431
         if self._bad and self._upload is not None:
             self._abandon_upload()
@@ -259,7 +259,7 @@
     def on_body(self, data: bytes) -> None:
         """A piece of the body."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         if seen + len(data) > (self._server.max_body if self._call is not None else self._server.kept):
             self._bad = self._bad or 413
         elif self._bad:
@@ -304,7 +304,7 @@
             number, self._number, self._current = self._number, None, None
             self._release()
             if number is not None:
-                self._engine.left(number)
+                self._engine.client_disconnected(number)
         elif request in self._waiting:
             self._waiting.remove(request)
         request.upload.drop()
@@ -352,10 +352,10 @@
             self._finish(200 if self._server.is_ready() else 503, self._server.says_who)
             return
         upload, now = request.upload, self._monotonic()
-        waited = now - request.came if upload is None or upload.whole else 0.0  # behind another
+        waited = now - request.came if upload is None or upload.is_complete else 0.0  # behind another
         remaining = min(call.remaining - waited, self._server.time_left())
         if remaining <= 0:
-            self._engine.turned_back(call.class_name)
+            self._engine.request_expired(call.class_name)
             self.fail(504)
             return
         # An upstream would take the second for a copy of the first; nor is its sender trusted with what is behind.
@@ -369,7 +369,7 @@
         self._server.open_ids[call.txn] = self
         length = len(request.body) if upload is None else upload.length
         framing = b"Transfer-Encoding: chunked" if length is None else b"Content-Length: %d" % length
-        passed_on = write_headers(call.passed_on)
+        passed_on = write_headers(call.forwarded_headers)
         head = b"%b %b HTTP/1.1\r\n%b%b\r\n" % (call.method, call.target, passed_on, framing)
         is_head = call.method == b"HEAD"
         outgoing = Outgoing(
@@ -382,7 +382,7 @@
                 self._transport.resume_reading()
         free = self._server.free_connections()
         self._engine = self._server.engine
-        number = self._engine.arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
+        number = self._engine.request_arrived(call.class_name, call.tenant, remaining, outgoing, self, free)
         if self._current is request:  # it may have been answered at once
             self._number = number
 
@@ -538,14 +538,14 @@
     def is_owed(self) -> bool:
         """Whether a request whose last byte has come waits for its answer; one that lives on has begun its own."""
         requests = (r for r in (self._current, *self._waiting) if r is not None)
-        return any(r.upload is None or r.upload.whole for r in requests) and not self.is_streaming()
+        return any(r.upload is None or r.upload.is_complete for r in requests) and not self.is_streaming()
 
     def has_unread(self) -> bool:
         """Whether bytes have come that nobody has read: a request among them has been taken."""
         return (
             self._transport is not None
             and not (self._lingers or self._transport.is_closing())
-            and bool(self._server.host.watcher(self._transport)(0))
+            and bool(self._server.host.unread_probe(self._transport)(0))
         )
 
     def close_if_unused(self) -> None:
@@ -584,7 +584,7 @@
     def _is_slow(self, now: float) -> bool:
         """Whether the body that is being read comes slower than it may."""
         upload = self._upload.upload if self._upload is not None else None
-        seen = len(self._body) if upload is None else upload.seen
+        seen = len(self._body) if upload is None else upload.received_bytes
         return not self._held and now - self._head_at > BODY_S + seen / BODY_RATE
 
     def sweep(self, now: float) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -350,7 +350,11 @@
             client.send(X_Remaining="0.3")
             await client.reader.readuntil(b"\r\n\r\n")
             (request,) = b.node.engine._requests.values()
-            await until(lambda: asyncio.get_running_loop().time() > request.due and request.guard is not None)
+            await until(
+                lambda: (
+                    asyncio.get_running_loop().time() > request.due_s and request.deadline_timer is not None
+                )
+            )
             await asyncio.sleep(0)
             rest.set()
             assert len(await client.reader.readexactly(400_000)) == 400_000
@@ -374,7 +378,7 @@
 async def unread(b: Balancer) -> None:
     """Until a caller's bytes lie in the kernel."""
     transports = [c._transport for c in b.node.server.connections if c._transport is not None]
-    await until(lambda: any(HOST.watcher(t)(0) for t in transports))
+    await until(lambda: any(HOST.unread_probe(t)(0) for t in transports))
 
 
 def test_an_idle_connection_is_not_closed_on_a_request_that_nobody_has_read() -> None:
