--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -219,7 +219,7 @@
         self._waiting.append(endpoint)
         self._poll()
 
-    def watch(self, callback: Callable[[], object] | None) -> bool:
+    def set_reader(self, callback: Callable[[], object] | None) -> bool:
         """Level-triggered: called again and again while something waits."""
         had, self._callback = self._callback is not None, callback
         self._poll()
@@ -488,9 +488,9 @@
         listener = self.listeners[(host, port)] = SimListener(self, (host, port), backlog)
         return listener
 
-    def watch(self, listener: SimListener, callback: Callable[[], object] | None) -> bool:
+    def set_reader(self, listener: SimListener, callback: Callable[[], object] | None) -> bool:
         """See `SimListener.watch`."""
-        return listener.watch(callback)
+        return listener.set_reader(callback)
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[SimTransport, Any]:
         """A connection that is up; refused at once where nobody listens."""
@@ -563,7 +563,7 @@
         self.monotonic = loop.time
 
         def unix() -> float:
-            return unix_at_start + loop.time() + (process or loop.current).wall_offset
+            return unix_at_start + loop.time() + (process or loop.current).wall_offset_s
 
         self.unix = unix
 
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -18,7 +18,7 @@
 from passpost.operator.model import File
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal import carried
-from passpost.rehearsal.loop import Process, SimLoop, StuckError
+from passpost.rehearsal.loop import Process, SimLoop, StalledError
 from passpost.rehearsal.model import Script
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import Backend, BalancerHandle, Config, ConnectionEnd
@@ -190,7 +190,7 @@
 
     def set_clock(self, machine: str, by: float) -> None:
         if (process := self._processes.get(machine)) is not None:
-            process.wall_offset += by
+            process.wall_offset_s += by
 
     def unix_ms(self) -> float:
         return self.host.unix() * 1000
@@ -236,7 +236,7 @@
     log.propagate = False
     try:
         night = backend.loop.run(world.play())
-    except StuckError as error:
+    except StalledError as error:
         night = world.night
         night.faults.append(str(error))
         night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
--- a/tests/rehearsal/test_loop.py
+++ b/tests/rehearsal/test_loop.py
@@ -1,4 +1,4 @@
-"""The simulated loop: its clock, its order, its processes."""
+"""Tests of the simulated event loop: clock, callback order and simulated processes."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 import pytest
 
-from passpost.rehearsal import loop as module
-from passpost.rehearsal.loop import SimLoop, StuckError
+from passpost.rehearsal import loop as loop_module
+from passpost.rehearsal.loop import SimLoop, StalledError
 
 
-def new(seed: int = 1) -> SimLoop:
+def new_loop(seed: int = 1) -> SimLoop:
     return SimLoop(seed)  # type: ignore[abstract]
 
 
-def test_time_jumps_to_what_is_due_next() -> None:
-    loop = new()
+def test_time_advances_directly_to_the_next_timer() -> None:
+    loop = new_loop()
     seen: list[float] = []
 
     async def main() -> None:
@@ -27,9 +27,9 @@
     assert seen == [0.5, 3600.5, 3600.5]
 
 
-def test_what_is_called_soon_runs_in_order_and_timers_of_one_moment_by_the_seed() -> None:
+def test_call_soon_keeps_order_and_the_seed_orders_simultaneous_timers() -> None:
     def order(seed: int) -> tuple[list[int], list[int]]:
-        loop = new(seed)
+        loop = new_loop(seed)
         soon: list[int] = []
         timed: list[int] = []
 
@@ -45,12 +45,12 @@
     orders = {seed: order(seed) for seed in range(6)}
     assert all(soon == list(range(8)) for soon, _ in orders.values())
     assert all(sorted(timed) == list(range(8)) for _, timed in orders.values())
-    assert len({tuple(timed) for _, timed in orders.values()}) > 1  # the seed decides ...
-    assert all(order(seed) == found for seed, found in orders.items())  # ... and nothing else
+    assert len({tuple(timed) for _, timed in orders.values()}) > 1  # the order depends on the seed
+    assert all(order(seed) == found for seed, found in orders.items())  # and on nothing else
 
 
-def test_a_cancelled_timer_does_not_run() -> None:
-    loop = new()
+def test_cancelled_timer_does_not_run() -> None:
+    loop = new_loop()
     seen: list[str] = []
 
     async def main() -> None:
@@ -62,8 +62,8 @@
     assert seen == ["kept"]
 
 
-def test_time_outs_of_asyncio_work_on_the_simulated_clock() -> None:
-    loop = new()
+def test_asyncio_timeouts_use_the_simulated_clock() -> None:
+    loop = new_loop()
 
     async def main() -> None:
         with pytest.raises(TimeoutError):
@@ -74,8 +74,8 @@
     assert loop.time() == 7.5
 
 
-def test_a_paused_process_runs_late_and_a_killed_one_never() -> None:
-    loop = new()
+def test_paused_process_runs_after_resume_and_killed_process_never_runs() -> None:
+    loop = new_loop()
     seen: list[tuple[str, float]] = []
 
     def tick(name: str) -> None:
@@ -95,8 +95,8 @@
     assert seen == [("other", 1.0), ("paused", 5.0)]
 
 
-def test_tasks_belong_to_the_process_that_starts_them() -> None:
-    loop = new()
+def test_tasks_belong_to_the_process_that_created_them() -> None:
+    loop = new_loop()
     seen: list[str] = []
 
     async def work(name: str) -> None:
@@ -114,30 +114,30 @@
     assert seen == ["living"]
 
 
-def test_a_night_that_stands_still_ends_with_the_reason(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "MOST_AT_ONCE", 1_000)
-    loop = new()
+def test_busy_loop_raises_stalled_error_with_the_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(loop_module, "MAX_CALLBACKS_PER_INSTANT", 1_000)
+    loop = new_loop()
 
     async def spin() -> None:
         while True:
             await asyncio.sleep(0)
 
-    with pytest.raises(StuckError, match=r"stands still at 0\.000 s"):
+    with pytest.raises(StalledError, match=r"clock is stuck at 0\.000 s"):
         loop.run(spin())
 
 
-def test_a_night_in_which_nothing_is_due_any_more_ends_with_the_reason() -> None:
-    loop = new()
+def test_waiting_with_nothing_scheduled_raises_stalled_error() -> None:
+    loop = new_loop()
 
     async def wait_for_nothing() -> None:
         await loop.create_future()
 
-    with pytest.raises(StuckError, match="nothing is due"):
+    with pytest.raises(StalledError, match="no callback is scheduled"):
         loop.run(wait_for_nothing())
 
 
-def test_what_nobody_catches_is_noted() -> None:
-    loop = new()
+def test_uncaught_exception_is_recorded_as_a_fault() -> None:
+    loop = new_loop()
 
     def fail() -> None:
         raise ZeroDivisionError("on purpose")
