--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -1,15 +1,16 @@
-"""The simulated network: listeners, connections and their transports, with a kernel's manners.
-
-What it keeps to, as the balancer's promises rest on it:
-
-- A write is taken as far as the window has room: bytes that the peer has not read fill it. The first byte
-  that is not taken calls `pause_writing` before `write` returns; `resume_writing` when the rest is gone.
-- Bytes arrive in order, after the latency; a reader gets what lies there, in pieces that the seed may cut.
-- `write_eof` ends one direction only. `close` sends what is still unsent and then the end; with bytes unread
-  it resets the connection instead, and a reset throws away what the other side has not read.
-- A listener has a queue. A connection is up once it stands in the queue, whether or not it is accepted;
-  with the queue full the attempt hears nothing and comes up when there is room.
-- While two machines are cut off from each other nothing passes; what was sent arrives after the cut.
+"""The simulated network: listeners, connections and transports that behave like a kernel's TCP sockets.
+
+The balancer's guarantees depend on the following behaviour:
+
+- A write is accepted as far as the window has room; bytes that the peer has not read fill the window. The first
+  byte above the transport's high-water mark that is not accepted makes `write` call `pause_writing` before it
+  returns; `resume_writing` follows when the buffer has drained to the low-water mark.
+- Bytes arrive in order, after the latency. A read returns what has arrived; the seed may split it into pieces.
+- `write_eof` closes one direction only. `close` sends the buffered bytes and then EOF; if received bytes are
+  unread, it resets the connection instead. A reset discards the bytes that the other side has not read.
+- A listener has an accept queue. A connection is established once it is in the queue, whether or not it has been
+  accepted. While the queue is full, a connection attempt gets no answer; it succeeds when there is room.
+- Nothing passes between partitioned machines; data sent during a partition arrives after it.
 """
 
 from __future__ import annotations
@@ -23,238 +24,250 @@
 from passpost.host import Address, Host
 from passpost.rehearsal.loop import Process, SimLoop
 
-WINDOW = 128 * 1024  # bytes that a peer may leave unread before our writes are held up
-READ_AT_ONCE = 64 * 1024
-HIGH_WATER = 64 * 1024  # asyncio's own default
+WINDOW_BYTES = 128 * 1024  # unread bytes at the peer that block further sending
+MAX_READ_BYTES = 64 * 1024
+HIGH_WATER_BYTES = 64 * 1024  # asyncio's default
 
 
-class _End:
-    """One end of a connection: what its kernel holds, and the transport once there is a protocol."""
+class _Endpoint:
+    """One end of a connection: the state in the kernel, and the transport once a protocol is attached."""
 
     def __init__(self, network: Network, process: Process, address: Address) -> None:
         self.network, self.process, self.address = network, process, address
-        self.peer: _End = self
-        self.inbox: deque[tuple[bytes, float]] = deque()  # arrived and unread, each with when it was sent
-        self.inbox_size = 0
-        self.in_flight = 0  # bytes of ours on their way or unread at the peer
-        self.last_arrival = 0.0  # at the peer, of what we sent last: the order is kept
-        self.got_eof, self.told_eof, self.reset = False, False, False
-        self.ended = False  # our sending is over
-        self.closed = False  # our process has let go of it
+        self.peer: _Endpoint = self
+        self.receive_buffer: deque[tuple[bytes, float]] = deque()  # unread data with its send time
+        self.receive_buffer_bytes = 0
+        self.in_flight_bytes = 0  # bytes sent from here that are in transit or unread at the peer
+        self.last_arrival = 0.0  # arrival time at the peer of the latest send; keeps the order
+        self.peer_eof, self.eof_delivered, self.reset = False, False, False
+        self.sending_ended = False  # EOF or a reset has been sent from here
+        self.closed = False  # the process has closed its descriptor
         self.transport: SimTransport | None = None
-        self.sent_at = 0.0  # when the bytes that are being read were sent
+        self.sent_at = 0.0  # send time of the first byte of the latest read
 
     # ---- sending
 
     def room(self) -> int:
-        """How many bytes would be taken now."""
-        return max(self.network.window - self.in_flight, 0)
+        """Number of bytes that can be sent now."""
+        return max(self.network.window_bytes - self.in_flight_bytes, 0)
 
     def send(self, data: bytes) -> None:
-        """Hand bytes to the network."""
-        self.in_flight += len(data)
-        sent = self.network.loop.time()
-        self._pass(lambda: self.peer._arrived(data, sent))
+        """Send bytes to the peer."""
+        self.in_flight_bytes += len(data)
+        send_time = self.network.loop.time()
+        self._send_over_network(lambda: self.peer._arrived(data, send_time))
 
     def send_eof(self) -> None:
-        """End our direction behind what was sent."""
-        if not self.ended:
-            self.ended = True
-            self._pass(self.peer._eof_arrived)
+        """Close this direction after the data sent so far."""
+        if not self.sending_ended:
+            self.sending_ended = True
+            self._send_over_network(self.peer._eof_arrived)
 
     def send_reset(self) -> None:
-        """End both directions at once."""
-        self.ended = True
-        self._pass(self.peer._reset_arrived)
+        """Reset the connection, which ends both directions."""
+        self.sending_ended = True
+        self._send_over_network(self.peer._reset_arrived)
 
-    def _pass(self, arrive: Callable[[], None]) -> None:
+    def _send_over_network(self, on_arrival: Callable[[], None]) -> None:
         network, now = self.network, self.network.loop.time()
-        # Never at the same moment as what went before: the seed would be free to swap them.
-        at = max(now + network.latency(self.process.name, self.peer.process.name), self.last_arrival + 1e-9)
+        # Always later than the previous arrival: the loop orders simultaneous events by the seed.
+        at = max(
+            now + network.draw_latency_s(self.process.name, self.peer.process.name), self.last_arrival + 1e-9
+        )
         self.last_arrival = at
 
-        def come() -> None:
+        def deliver() -> None:
             if network.is_partitioned(self.process.name, self.peer.process.name):
-                network.held.append((self.process.name, self.peer.process.name, come))
+                network.undelivered.append((self.process.name, self.peer.process.name, deliver))
             else:
-                arrive()
+                on_arrival()
 
-        network.loop.run_as(network.loop.world, lambda: network.loop.call_at(at, come))
+        network.loop.run_as(network.loop.world, lambda: network.loop.call_at(at, deliver))
 
-    # ---- arriving; the kernel works on while the process is paused
+    # ---- receiving; the kernel goes on receiving while the process is paused
 
-    def _arrived(self, data: bytes, sent: float) -> None:
+    def _arrived(self, data: bytes, send_time: float) -> None:
         if self.closed or self.reset:
             self.send_reset()
             return
-        self.inbox.append((data, sent))
-        self.inbox_size += len(data)
-        self._wake()
+        self.receive_buffer.append((data, send_time))
+        self.receive_buffer_bytes += len(data)
+        self._notify_transport()
 
     def _eof_arrived(self) -> None:
-        self.got_eof = True
-        self._wake()
+        self.peer_eof = True
+        self._notify_transport()
 
     def _reset_arrived(self) -> None:
         if not self.closed:
             self.reset = True
-            self.inbox.clear()
-            self.inbox_size = 0
-            self._wake()
+            self.receive_buffer.clear()
+            self.receive_buffer_bytes = 0
+            self._notify_transport()
 
-    def _wake(self) -> None:
+    def _notify_transport(self) -> None:
         if self.transport is not None:
-            self.transport._readable()
+            self.transport._schedule_read()
 
-    def take(self, most: int) -> bytes:
-        """Read what has arrived, and let the peer send on."""
+    def consume(self, max_bytes: int) -> bytes:
+        """Read up to `max_bytes` of the received data, which frees the peer's window."""
         parts, size = [], 0
-        while self.inbox and size < most:
-            data, sent = self.inbox.popleft()
+        while self.receive_buffer and size < max_bytes:
+            data, send_time = self.receive_buffer.popleft()
             if size == 0:
-                self.sent_at = sent
-            if len(data) > most - size:
-                self.inbox.appendleft((data[most - size :], sent))
-                data = data[: most - size]
+                self.sent_at = send_time
+            if len(data) > max_bytes - size:
+                self.receive_buffer.appendleft((data[max_bytes - size :], send_time))
+                data = data[: max_bytes - size]
             parts.append(data)
             size += len(data)
-        self.inbox_size -= size
-        self.peer._acknowledged(size)
+        self.receive_buffer_bytes -= size
+        self.peer._peer_consumed(size)
         return b"".join(parts)
 
-    def _acknowledged(self, size: int) -> None:
+    def _peer_consumed(self, size: int) -> None:
         full = self.room() == 0
-        self.in_flight -= size
+        self.in_flight_bytes -= size
         if full and self.transport is not None and not self.closed:
             transport = self.transport
-            self._pass_back(transport._flush)
+            self._call_after_latency(transport._resume_sending)
 
-    def _pass_back(self, call: Callable[[], None]) -> None:
+    def _call_after_latency(self, call: Callable[[], None]) -> None:
         loop = self.network.loop
-        delay = self.network.latency(self.peer.process.name, self.process.name)
+        delay = self.network.draw_latency_s(self.peer.process.name, self.process.name)
         loop.run_as(self.process, lambda: loop.call_later(delay, call))
 
-    def let_go(self, reset: bool = False) -> None:
-        """The process closes its descriptor: an end if all was read, else a reset."""
+    def close_descriptor(self, reset: bool = False) -> None:
+        """Close the process's descriptor: sends EOF if all data was read, otherwise a reset."""
         if self.closed:
             return
         self.closed = True
-        self.network.forget(self)
+        self.network.remove_endpoint(self)
         if self.reset:
             return
-        if reset or self.inbox:
+        if reset or self.receive_buffer:
             self.send_reset()
         else:
             self.send_eof()
-        self.inbox.clear()
-        self.inbox_size = 0
+        self.receive_buffer.clear()
+        self.receive_buffer_bytes = 0
 
 
 class SimSocket:
-    """An accepted connection before it has a transport."""
+    """An accepted connection that has no transport yet."""
 
-    def __init__(self, endpoint: _End) -> None:
+    def __init__(self, endpoint: _Endpoint) -> None:
         self.endpoint = endpoint
 
     def setblocking(self, flag: bool) -> None:
-        """Nothing blocks here."""
+        """Does nothing: simulated sockets never block."""
 
     def close(self) -> None:
-        """Let go of it."""
-        self.endpoint.let_go()
+        """Close the descriptor."""
+        self.endpoint.close_descriptor()
 
 
 class SimListener:
-    """A listening socket; it satisfies `passpost.host.Listener`."""
+    """A listening socket; implements `passpost.host.Listener`."""
 
     def __init__(self, network: Network, address: Address, backlog: int) -> None:
         self._network, self._address, self._backlog = network, address, backlog
         self.process = network.loop.current
-        self._waiting: deque[_End] = deque()
-        self._refused_room: deque[Callable[[], None]] = deque()  # attempts that the full queue does not hear
+        self._accept_queue: deque[_Endpoint] = deque()
+        self._blocked_attempts: deque[Callable[[], None]] = (
+            deque()
+        )  # connection attempts that wait for room in the accept queue
         self._callback: Callable[[], object] | None = None
-        self._called = False
+        self._callback_scheduled = False
         self.open = True
 
     def fileno(self) -> int:
-        """Something that is not -1 while it is open."""
+        """A constant non-negative number while open, -1 once closed."""
         return 3 if self.open else -1
 
     def getsockname(self) -> Address:
-        """Host and port."""
+        """The listener's host and port."""
         return self._address
 
     def accept(self) -> tuple[SimSocket, Address]:
-        """The connection that has waited longest."""
+        """Accept the oldest connection in the queue; raises BlockingIOError if there is none."""
         if not self.open:
             raise OSError("the listener is closed")
-        if not self._waiting:
+        if not self._accept_queue:
             raise BlockingIOError
-        endpoint = self._waiting.popleft()
-        if self._refused_room:
-            self._refused_room.popleft()()
+        endpoint = self._accept_queue.popleft()
+        if self._blocked_attempts:
+            self._blocked_attempts.popleft()()
         return SimSocket(endpoint), endpoint.peer.address
 
     def close(self) -> None:
-        """Listen no more: what waits unaccepted is reset."""
+        """Stop listening and reset the connections that were not accepted."""
         if not self.open:
             return
         self.open = False
         self._callback = None
         del self._network.listeners[self._address]
-        for endpoint in self._waiting:
-            endpoint.let_go(reset=True)
-        self._waiting.clear()
+        for endpoint in self._accept_queue:
+            endpoint.close_descriptor(reset=True)
+        self._accept_queue.clear()
 
     def has_room(self) -> bool:
-        """Whether the queue takes another connection."""
-        return len(self._waiting) < self._backlog
+        """Whether the accept queue has room for another connection."""
+        return len(self._accept_queue) < self._backlog
 
-    def when_room(self, knock: Callable[[], None]) -> None:
-        """Knock again once there is room."""
-        self._refused_room.append(knock)
+    def when_room(self, try_connect: Callable[[], None]) -> None:
+        """Retry a connection attempt once the accept queue has room."""
+        self._blocked_attempts.append(try_connect)
 
-    def come(self, endpoint: _End) -> None:
-        """A connection is up and waits to be accepted."""
-        self._waiting.append(endpoint)
-        self._poll()
+    def enqueue(self, endpoint: _Endpoint) -> None:
+        """Add an established connection to the accept queue."""
+        self._accept_queue.append(endpoint)
+        self._schedule_callback()
 
     def set_reader(self, callback: Callable[[], object] | None) -> bool:
-        """Level-triggered: called again and again while something waits."""
-        had, self._callback = self._callback is not None, callback
-        self._poll()
-        return had
-
-    def _poll(self) -> None:
-        if self._callback is not None and self._waiting and not self._called and self.process.alive:
-            self._called = True
+        """Set the reader, None to remove it; returns whether there was one.
+
+        Level-triggered: the callback is called again while a connection waits to be accepted.
+        """
+        had_callback, self._callback = self._callback is not None, callback
+        self._schedule_callback()
+        return had_callback
+
+    def _schedule_callback(self) -> None:
+        if (
+            self._callback is not None
+            and self._accept_queue
+            and not self._callback_scheduled
+            and self.process.alive
+        ):
+            self._callback_scheduled = True
             loop = self._network.loop
-            loop.run_as(self.process, lambda: loop.call_at(loop.time(), self._call))
+            loop.run_as(self.process, lambda: loop.call_at(loop.time(), self._run_callback))
 
-    def _call(self) -> None:
-        self._called = False
-        if self._callback is not None and self._waiting:
+    def _run_callback(self) -> None:
+        self._callback_scheduled = False
+        if self._callback is not None and self._accept_queue:
             self._callback()
-            self._poll()
+            self._schedule_callback()
 
 
 class SimTransport(asyncio.Transport):
-    """A connection as a protocol sees it."""
+    """The asyncio transport of a simulated connection."""
 
-    def __init__(self, network: Network, endpoint: _End, protocol: Any) -> None:
+    def __init__(self, network: Network, endpoint: _Endpoint, protocol: Any) -> None:
         super().__init__()
         self._network, self._loop, self.endpoint = network, network.loop, endpoint
         self._protocol = protocol
         self._buffer = bytearray()
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
-        self._protocol_paused, self._reading, self._scheduled = False, True, False
-        self._closing, self._lost, self._eof_due = False, False, False
+        self._high_water_bytes, self._low_water_bytes = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
+        self._protocol_paused, self._is_reading, self._read_scheduled = False, True, False
+        self._closing, self._connection_lost, self._eof_pending = False, False, False
         endpoint.transport = self
 
-    # ---- asyncio's side
+    # ---- the interface to asyncio protocols
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """`peername`, and `process`, the name of the process at the other end."""
+        """Supports `peername`, and `process`: the name of the process at the other end."""
         if name == "peername":
             return self.endpoint.peer.address
         if name == "process":
@@ -262,325 +275,351 @@
         return default
 
     def set_protocol(self, protocol: Any) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self._protocol = protocol
 
     def get_protocol(self) -> Any:
-        """The protocol."""
+        """Return the protocol."""
         return self._protocol
 
     def is_closing(self) -> bool:
-        """Whether it is closed or about to be."""
+        """Whether the transport is closed or closing."""
         return self._closing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As asyncio's."""
-        self._high = HIGH_WATER if high is None else high
-        self._low = self._high // 4 if low is None else low
+        """Set the limits in bytes, with asyncio's defaults."""
+        self._high_water_bytes = HIGH_WATER_BYTES if high is None else high
+        self._low_water_bytes = self._high_water_bytes // 4 if low is None else low
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high."""
-        return self._low, self._high
+        """The low and high limits in bytes."""
+        return self._low_water_bytes, self._high_water_bytes
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the network has not taken."""
+        """Number of buffered bytes that have not been sent."""
         return len(self._buffer)
 
     def can_write_eof(self) -> bool:
-        """TCP can."""
+        """Always True: TCP supports half-close."""
         return True
 
     def is_reading(self) -> bool:
-        """Whether bytes are passed on."""
-        return self._reading and not self._closing
+        """Whether received bytes are passed to the protocol."""
+        return self._is_reading and not self._closing
 
     def pause_reading(self) -> None:
-        """Leave bytes where they are."""
-        self._reading = False
+        """Leave received bytes unread."""
+        self._is_reading = False
 
     def resume_reading(self) -> None:
-        """Pass bytes on again."""
-        if not self._reading:
-            self._reading = True
-            self._readable()
+        """Pass received bytes to the protocol again."""
+        if not self._is_reading:
+            self._is_reading = True
+            self._schedule_read()
 
     def write(self, data: Any) -> None:
-        """Send, as far as there is room at once."""
-        if self._lost or self._eof_due or not data or self.endpoint.closed or not self.endpoint.process.alive:
+        """Send as much as the window allows and buffer the rest."""
+        if (
+            self._connection_lost
+            or self._eof_pending
+            or not data
+            or self.endpoint.closed
+            or not self.endpoint.process.alive
+        ):
             return
-        if self.endpoint.reset:  # the write fails; the loop tells of it next
-            self._readable()
+        if self.endpoint.reset:  # the write fails; the loop then reports the reset to the protocol
+            self._schedule_read()
             return
         self._buffer += data
-        self._push()
-        if len(self._buffer) > self._high and not self._protocol_paused:
+        self._send_buffered()
+        if len(self._buffer) > self._high_water_bytes and not self._protocol_paused:
             self._protocol_paused = True
             self._protocol.pause_writing()
 
     def writelines(self, list_of_data: Any) -> None:
-        """All in one go."""
+        """Write all chunks as one."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """End our direction when all is sent."""
-        if not self._eof_due and not self._closing:
-            self._eof_due = True
-            self._push()
+        """Send EOF after the buffered data."""
+        if not self._eof_pending and not self._closing:
+            self._eof_pending = True
+            self._send_buffered()
 
     def close(self) -> None:
-        """Send what is unsent, then end."""
+        """Send the buffered data, then close."""
         if self._closing or not self.endpoint.process.alive:
             return
         self._closing = True
         if not self._buffer:
-            self._loop.call_soon(self._end, None)
+            self._loop.call_soon(self._finish_close, None)
 
     def abort(self) -> None:
-        """End at once, whatever is unsent."""
+        """Close at once and discard the buffered data."""
         if not self.endpoint.process.alive:
-            return  # what a dead process's garbage still does has no effect
+            return  # calls from the cleanup of a dead process's objects have no effect
         self._closing = True
         self._buffer.clear()
-        if not self._lost:
-            self._loop.call_soon(self._end, None)
+        if not self._connection_lost:
+            self._loop.call_soon(self._finish_close, None)
 
-    # ---- the network's side
+    # ---- the interface to the network
 
-    def _push(self) -> None:
+    def _send_buffered(self) -> None:
         room = self.endpoint.room()
         if room and self._buffer:
             data = bytes(self._buffer[:room])
             del self._buffer[:room]
             self.endpoint.send(data)
-        if self._eof_due and not self._buffer:
+        if self._eof_pending and not self._buffer:
             self.endpoint.send_eof()
 
-    def _flush(self) -> None:
-        """The peer has read: send on."""
-        if self._lost:
+    def _resume_sending(self) -> None:
+        """The peer has read data, so the window has room: continue sending."""
+        if self._connection_lost:
             return
-        self._push()
-        if self._protocol_paused and len(self._buffer) <= self._low:
+        self._send_buffered()
+        if self._protocol_paused and len(self._buffer) <= self._low_water_bytes:
             self._protocol_paused = False
             self._protocol.resume_writing()
         if self._closing and not self._buffer:
-            self._end(None)
+            self._finish_close(None)
 
-    def _readable(self) -> None:
-        """Have the loop look at it, in its process's turn; at this moment's other events the seed decides."""
-        if not self._scheduled and not self._lost and self.endpoint.process.alive:
-            self._scheduled = True
+    def _schedule_read(self) -> None:
+        """Schedule a read in the owning process; the seed orders it among other events due at this time."""
+        if not self._read_scheduled and not self._connection_lost and self.endpoint.process.alive:
+            self._read_scheduled = True
             loop = self._loop
             loop.run_as(self.endpoint.process, lambda: loop.call_at(loop.time(), self._read))
 
     def _read(self) -> None:
-        self._scheduled = False
+        self._read_scheduled = False
         endpoint = self.endpoint
-        if self._lost:
+        if self._connection_lost:
             return
         if endpoint.reset:
             self._closing = True
             self._buffer.clear()
-            self._end(ConnectionResetError("the connection was reset"))
+            self._finish_close(ConnectionResetError("the connection was reset"))
             return
-        if self._closing or not self._reading:
+        if self._closing or not self._is_reading:
             return
-        if endpoint.inbox:
-            data = endpoint.take(self._network.piece(endpoint.inbox_size))
+        if endpoint.receive_buffer:
+            data = endpoint.consume(self._network.draw_read_size(endpoint.receive_buffer_bytes))
             self._protocol.data_received(data)
-            if endpoint.inbox or endpoint.got_eof:
-                self._readable()
-        elif endpoint.got_eof and not endpoint.told_eof:
-            endpoint.told_eof = True
+            if endpoint.receive_buffer or endpoint.peer_eof:
+                self._schedule_read()
+        elif endpoint.peer_eof and not endpoint.eof_delivered:
+            endpoint.eof_delivered = True
             if not self._protocol.eof_received():
                 self.close()
 
-    def is_told(self) -> bool:
-        """Whether bytes, an end or a reset lie there unread."""
-        return bool(self.endpoint.inbox) or self.has_ended()
+    def has_unread(self) -> bool:
+        """Whether there are unread bytes, or the peer has sent EOF or a reset."""
+        return bool(self.endpoint.receive_buffer) or self.peer_has_ended()
 
-    def has_ended(self) -> bool:
-        """Whether the other side sends no more."""
-        return self.endpoint.got_eof or self.endpoint.reset
+    def peer_has_ended(self) -> bool:
+        """Whether EOF or a reset has arrived from the peer."""
+        return self.endpoint.peer_eof or self.endpoint.reset
 
-    def _end(self, error: Exception | None) -> None:
-        if self._lost:
+    def _finish_close(self, error: Exception | None) -> None:
+        if self._connection_lost:
             return
-        self._lost = True
-        self.endpoint.let_go()
+        self._connection_lost = True
+        self.endpoint.close_descriptor()
         self._protocol.connection_lost(error)
 
 
 class Network:
-    """All connections of a night. `latency_s` and `jitter_s` are for one way."""
+    """All connections of a run.
+
+    `latency_s` is the one-way latency in seconds, to which a random share of `jitter_s` is added. With
+    `split_probability` a read returns only part of the data that has arrived.
+    """
 
     def __init__(
-        self, loop: SimLoop, seed: int, latency_s: float, jitter_s: float, split: float, window: int = WINDOW
+        self,
+        loop: SimLoop,
+        seed: int,
+        latency_s: float,
+        jitter_s: float,
+        split_probability: float,
+        window_bytes: int = WINDOW_BYTES,
     ) -> None:
-        self.loop, self.window = loop, window
-        self._latency, self._jitter, self._split = latency_s, jitter_s, split
+        self.loop, self.window_bytes = loop, window_bytes
+        self._latency_s, self._jitter_s, self._split_probability = latency_s, jitter_s, split_probability
         self._random = random.Random(f"network {seed}")
         self.listeners: dict[Address, SimListener] = {}
-        self.extra: dict[str, float] = {}  # seconds more, one way, to and from a machine
+        self.extra_latency_s: dict[str, float] = {}  # additional one-way latency by machine, to and from it
         self._partitions: dict[frozenset[str], int] = {}
-        self.held: list[tuple[str, str, Callable[[], None]]] = []
-        self._ends: dict[Process, dict[_End, None]] = {}
-        self._ports = 40_000
+        self.undelivered: list[tuple[str, str, Callable[[], None]]] = []
+        self._endpoints: dict[Process, dict[_Endpoint, None]] = {}
+        self._last_port = 40_000
         loop.network_layer = self
 
     # ---- faults
 
     def partition(self, a: str, b: str) -> None:
-        """Nothing passes between two machines; cuts may overlap."""
+        """Partition two machines from each other. Partitions of the same pair may overlap in time."""
         pair = frozenset((a, b))
         self._partitions[pair] = self._partitions.get(pair, 0) + 1
 
     def heal(self, a: str, b: str) -> None:
-        """One cut is over; after the last of them what was sent arrives."""
+        """End one partition of a pair; after the last of them the data sent meanwhile is delivered."""
         pair = frozenset((a, b))
         self._partitions[pair] = self._partitions.get(pair, 1) - 1
         if self._partitions[pair] <= 0:
             del self._partitions[pair]
-            held, self.held = self.held, []
-            for src, dst, come in held:
-                if frozenset((src, dst)) == pair:
-                    self.loop.run_as(self.loop.world, lambda come=come: self.loop.call_soon(come))  # type: ignore[misc]
+            undelivered, self.undelivered = self.undelivered, []
+            for source, destination, deliver in undelivered:
+                if frozenset((source, destination)) == pair:
+                    self.loop.run_as(self.loop.world, lambda deliver=deliver: self.loop.call_soon(deliver))  # type: ignore[misc]
                 else:
-                    self.held.append((src, dst, come))
+                    self.undelivered.append((source, destination, deliver))
 
     def is_partitioned(self, a: str, b: str) -> bool:
-        """Whether nothing passes between them."""
+        """Whether two machines are partitioned."""
         return bool(self._partitions) and frozenset((a, b)) in self._partitions
 
     def drop_process(self, process: Process) -> None:
-        """A process has died: its listeners are gone and its connections reset."""
+        """Close the listeners of a dead process and reset its connections."""
         for listener in [x for x in self.listeners.values() if x.process is process]:
             listener.close()
-        for endpoint in self._ends.pop(process, {}):
-            endpoint.let_go(reset=True)
-
-    # ---- what ends and the loop ask
-
-    def forget(self, endpoint: _End) -> None:
-        """Its process has let go of it: a long night must not grow by what is over."""
-        self._ends.get(endpoint.process, {}).pop(endpoint, None)
-
-    def latency(self, src: str, dst: str) -> float:
-        """Seconds from one machine to the other."""
-        jitter = self._jitter * self._random.random()
-        return self._latency + jitter + self.extra.get(src, 0.0) + self.extra.get(dst, 0.0)
-
-    def piece(self, size: int) -> int:
-        """How much of what lies there a read gets."""
-        if size > 1 and self._split and self._random.random() < self._split:
+        for endpoint in self._endpoints.pop(process, {}):
+            endpoint.close_descriptor(reset=True)
+
+    # ---- calls from endpoints and from the loop
+
+    def remove_endpoint(self, endpoint: _Endpoint) -> None:
+        """Remove a closed endpoint, so that memory does not grow with every connection of a long run."""
+        self._endpoints.get(endpoint.process, {}).pop(endpoint, None)
+
+    def draw_latency_s(self, source: str, destination: str) -> float:
+        """Draw the one-way latency from one machine to another, in seconds."""
+        jitter = self._jitter_s * self._random.random()
+        return (
+            self._latency_s
+            + jitter
+            + self.extra_latency_s.get(source, 0.0)
+            + self.extra_latency_s.get(destination, 0.0)
+        )
+
+    def draw_read_size(self, size: int) -> int:
+        """Draw the maximum number of bytes that a read returns if `size` bytes have arrived."""
+        if size > 1 and self._split_probability and self._random.random() < self._split_probability:
             return self._random.randint(1, size)
-        return READ_AT_ONCE
+        return MAX_READ_BYTES
 
     def listen(self, address: Address, backlog: int) -> SimListener:
-        """A listener of the process that asks; port 0 takes a free one."""
+        """Create a listener of the current process; port 0 selects a free port. Raises OSError if it is in use."""
         host, port = address
         while port == 0 or (host, port) in self.listeners:
             if port:
-                raise OSError(f"{host}:{port} is taken")
-            self._ports += 1
-            if (host, self._ports) not in self.listeners:
-                port = self._ports
+                raise OSError(f"{host}:{port} is already in use")
+            self._last_port += 1
+            if (host, self._last_port) not in self.listeners:
+                port = self._last_port
         listener = self.listeners[(host, port)] = SimListener(self, (host, port), backlog)
         return listener
 
     def set_reader(self, listener: SimListener, callback: Callable[[], object] | None) -> bool:
-        """See `SimListener.watch`."""
+        """See `SimListener.set_reader`."""
         return listener.set_reader(callback)
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[SimTransport, Any]:
-        """A connection that is up; refused at once where nobody listens."""
-        loop, mine = self.loop, self.loop.current
-        future: asyncio.Future[_End] = loop.create_future()
+        """Establish a connection; raises ConnectionRefusedError if nothing listens on the address."""
+        loop, client_process = self.loop, self.loop.current
+        future: asyncio.Future[_Endpoint] = loop.create_future()
         target = self.listeners.get((host, port))
-        there = target.process.name if target is not None else mine.name
-        self._ports += 1
-        local = ("127.0.0.1", self._ports)
+        server_name = target.process.name if target is not None else client_process.name
+        self._last_port += 1
+        local = ("127.0.0.1", self._last_port)
 
-        def knock() -> None:
-            if self.is_partitioned(mine.name, there):
-                self.held.append((mine.name, there, knock))
+        def try_connect() -> None:
+            if self.is_partitioned(client_process.name, server_name):
+                self.undelivered.append((client_process.name, server_name, try_connect))
                 return
             listener = self.listeners.get((host, port))
-            if future.done() or not mine.alive:
+            if future.done() or not client_process.alive:
                 return
             if listener is None:
-                answer(ConnectionRefusedError(f"nobody listens on {host}:{port}"))
+                complete_after_latency(ConnectionRefusedError(f"no listener on {host}:{port}"))
             elif not listener.has_room():
-                listener.when_room(knock)
+                listener.when_room(try_connect)
             else:
-                far = _End(self, listener.process, (host, port))
-                near = _End(self, mine, local)
-                near.peer, far.peer = far, near
-                for endpoint in (near, far):
-                    self._ends.setdefault(endpoint.process, {})[endpoint] = None
-                listener.come(far)
-                answer(near)
-
-        def answer(result: _End | Exception) -> None:
-            def come() -> None:
+                server_endpoint = _Endpoint(self, listener.process, (host, port))
+                client_endpoint = _Endpoint(self, client_process, local)
+                client_endpoint.peer, server_endpoint.peer = server_endpoint, client_endpoint
+                for endpoint in (client_endpoint, server_endpoint):
+                    self._endpoints.setdefault(endpoint.process, {})[endpoint] = None
+                listener.enqueue(server_endpoint)
+                complete_after_latency(client_endpoint)
+
+        def complete_after_latency(result: _Endpoint | Exception) -> None:
+            def complete() -> None:
                 if future.done():
-                    if isinstance(result, _End):
-                        result.let_go()
-                elif isinstance(result, _End):
+                    if isinstance(result, _Endpoint):
+                        result.close_descriptor()
+                elif isinstance(result, _Endpoint):
                     future.set_result(result)
                 else:
                     future.set_exception(result)
 
-            delay = self.latency(there, mine.name)
-            loop.run_as(mine, lambda: loop.call_later(delay, come))
+            delay = self.draw_latency_s(server_name, client_process.name)
+            loop.run_as(client_process, lambda: loop.call_later(delay, complete))
 
-        # The kernel's work goes on while its process is paused: it is the world's.
-        loop.run_as(loop.world, lambda: loop.call_later(self.latency(mine.name, there), knock))
-        return await self._equip(factory, await future)
+        # The kernel goes on connecting while the process is paused, so the loop's world process owns the callback.
+        loop.run_as(
+            loop.world,
+            lambda: loop.call_later(self.draw_latency_s(client_process.name, server_name), try_connect),
+        )
+        return await self._make_transport(factory, await future)
 
     async def connect_accepted(
         self, factory: Callable[[], Any], socket: SimSocket
     ) -> tuple[SimTransport, Any]:
-        """A transport for an accepted connection."""
-        return await self._equip(factory, socket.endpoint)
+        """Create a transport for an accepted connection."""
+        return await self._make_transport(factory, socket.endpoint)
 
-    async def _equip(self, factory: Callable[[], Any], endpoint: _End) -> tuple[SimTransport, Any]:
+    async def _make_transport(
+        self, factory: Callable[[], Any], endpoint: _Endpoint
+    ) -> tuple[SimTransport, Any]:
         protocol = factory()
         transport = SimTransport(self, endpoint, protocol)
         protocol.connection_made(transport)
-        transport._readable()
+        transport._schedule_read()
         return transport, protocol
 
 
 class SimHost(Host):
-    """`passpost.host.Host` for the processes of a night."""
+    """The `passpost.host.Host` of simulated processes. `unix_at_start_s`: Unix time at the loop's time 0."""
 
     def __init__(
-        self, network: Network, process: Process | None = None, unix_at_start: float = 1.8e9
+        self, network: Network, process: Process | None = None, unix_at_start_s: float = 1.8e9
     ) -> None:
         loop = network.loop
         self._network = network
         self.monotonic = loop.time
 
         def unix() -> float:
-            return unix_at_start + loop.time() + (process or loop.current).wall_offset_s
+            return unix_at_start_s + loop.time() + (process or loop.current).wall_offset_s
 
         self.unix = unix
 
     def listen(self, address: Address, backlog: int) -> SimListener:
-        """A listener on the simulated network."""
+        """Listen on the simulated network."""
         return self._network.listen(address, backlog)
 
     def unread_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
-        """Whether something lies there unread."""
+        """A probe for unread bytes, EOF or a reset."""
         assert isinstance(transport, SimTransport)
-        return lambda timeout: transport.is_told()
+        return lambda timeout: transport.has_unread()
 
     def end_probe(self, transport: asyncio.BaseTransport) -> Callable[[int], object]:
-        """Whether the other side has ended, whatever lies there before that."""
+        """A probe for EOF or a reset from the peer, also behind unread bytes."""
         assert isinstance(transport, SimTransport)
-        return lambda timeout: transport.has_ended()
+        return lambda timeout: transport.peer_has_ended()
 
     def was_reset(self, transport: asyncio.BaseTransport) -> bool:
-        """Never: here a reset is told as one, also where reading was paused."""
+        """Always False: the simulation reports a reset as an error even while reading is paused."""
         return False
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -186,7 +186,9 @@
         (self.simulated_network.partition if on else self.simulated_network.heal)(a, b)
 
     def delay(self, machine: str, seconds: float) -> None:
-        self.simulated_network.extra[machine] = self.simulated_network.extra.get(machine, 0.0) + seconds
+        self.simulated_network.extra_latency_s[machine] = (
+            self.simulated_network.extra_latency_s.get(machine, 0.0) + seconds
+        )
 
     def set_clock(self, machine: str, by: float) -> None:
         if (process := self._processes.get(machine)) is not None:
@@ -201,7 +203,7 @@
 
     def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
         assert isinstance(transport, SimTransport)
-        return transport.endpoint.in_flight > 0  # on their way still, or unread when it closed
+        return transport.endpoint.in_flight_bytes > 0  # on their way still, or unread when it closed
 
 
 class _Faults(logging.Handler):
--- a/tests/rehearsal/test_network.py
+++ b/tests/rehearsal/test_network.py
@@ -1,4 +1,4 @@
-"""The simulated network keeps a kernel's manners."""
+"""The simulated network behaves like a kernel's TCP sockets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 ADDRESS = ("10.0.0.1", 80)
 
 
-class Side(asyncio.Protocol):
-    """Notes all that happens to it."""
+class RecordingProtocol(asyncio.Protocol):
+    """A protocol that records its events."""
 
     def __init__(self) -> None:
         self.log: list[str] = []
@@ -46,18 +46,18 @@
         self.log.append("reset" if exc else "closed")
 
 
-Test = Callable[[Network, Side, Side], Coroutine[Any, Any, None]]
+ConnectionTest = Callable[[Network, RecordingProtocol, RecordingProtocol], Coroutine[Any, Any, None]]
 
 
-def between(test: Test, seed: int = 1, split: float = 0.0, window: int = 1000) -> None:
-    """Run a test with a connection that is up: the network, the client's side, the server's."""
+def run_connected(test: ConnectionTest, seed: int = 1, split: float = 0.0, window: int = 1000) -> None:
+    """Run a test on an established connection; it gets the network, the client's side and the server's side."""
     loop = SimLoop(seed)  # type: ignore[abstract]
     network = Network(loop, seed, 0.001, 0.0005, split, window)
 
     async def main() -> None:
-        server = Side()
+        server = RecordingProtocol()
         loop.spawn("server", lambda: listen(SimHost(network), ADDRESS, lambda: server))
-        client = Side()
+        client = RecordingProtocol()
         await loop.create_connection(lambda: client, *ADDRESS)
         await asyncio.sleep(0.1)
         await test(network, client, server)
@@ -66,8 +66,8 @@
     assert loop.faults == []
 
 
-def test_the_first_byte_that_is_not_taken_pauses_the_writer_at_once() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_write_beyond_the_window_pauses_the_writer_before_write_returns() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         client.transport.set_write_buffer_limits(high=0)
         server.transport.pause_reading()
         client.transport.write(b"x" * 1000)
@@ -80,11 +80,11 @@
         await asyncio.sleep(1)
         assert client.log == ["pause", "resume"] and server.data == b"x" * 1000 + b"y"
 
-    between(test)
+    run_connected(test)
 
 
-def test_half_closed_bytes_still_come_the_other_way() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_data_still_arrives_from_the_peer_after_write_eof() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         client.transport.write(b"question")
         client.transport.write_eof()
         await asyncio.sleep(0.1)
@@ -94,32 +94,32 @@
         await asyncio.sleep(0.1)
         assert (client.data, client.log) == (b"answer", ["eof"])
 
-    between(test)
+    run_connected(test)
 
 
-def test_a_close_sends_what_is_unsent_first() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
-        client.transport.write(b"z" * 5000)  # five windows
+def test_close_sends_the_buffered_data_first() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
+        client.transport.write(b"z" * 5000)  # five times the window
         client.transport.close()
         await asyncio.sleep(1)
         assert len(server.data) == 5000 and server.log == ["eof"]
         assert client.log == ["closed"] or client.log[-1] == "closed"
 
-    between(test)
+    run_connected(test)
 
 
-def test_an_abort_drops_what_is_unsent() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_abort_discards_the_buffered_data() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         client.transport.write(b"z" * 5000)
         client.transport.abort()
         await asyncio.sleep(1)
         assert len(server.data) == 1000 and client.log[-1] == "closed"
 
-    between(test)
+    run_connected(test)
 
 
-def test_closing_with_bytes_unread_resets_and_a_reset_throws_unread_bytes_away() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_close_with_unread_data_resets_and_a_reset_discards_unread_data() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         server.transport.pause_reading()
         client.transport.pause_reading()
         client.transport.write(b"never read")
@@ -130,25 +130,25 @@
         client.transport.resume_reading()
         await asyncio.sleep(0.1)
         assert (client.data, client.log) == (b"", ["reset"])
-        assert client.transport.endpoint.in_flight > 0  # it was never read
+        assert client.transport.endpoint.in_flight_bytes > 0  # it was never read
 
-    between(test)
+    run_connected(test)
 
 
-def test_bytes_that_cross_a_close_count_as_never_read() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_data_sent_while_the_peer_closes_counts_as_unread() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         client.keep_open = False
         server.transport.close()
         client.transport.write(b"crosses it")
         await asyncio.sleep(0.1)
         assert client.log[0] == "eof" and client.log[-1] in ("closed", "reset")
-        assert client.transport.endpoint.in_flight > 0
+        assert client.transport.endpoint.in_flight_bytes > 0
 
-    between(test)
+    run_connected(test)
 
 
-def test_writing_to_a_closed_connection_is_answered_with_a_reset() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_write_to_a_connection_closed_by_the_peer_causes_a_reset() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         server.transport.close()
         await asyncio.sleep(0.1)
         assert client.log == ["eof"]
@@ -156,49 +156,53 @@
         await asyncio.sleep(0.1)
         assert client.log == ["eof", "reset"]
 
-    between(test)
+    run_connected(test)
 
 
-def test_a_killed_process_resets_its_connections_and_is_refused() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_killed_process_resets_its_connections_and_refuses_new_ones() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         process = server.transport.endpoint.process
         network.loop.kill(process)
         network.drop_process(process)
         await asyncio.sleep(0.1)
         assert client.log == ["reset"] and server.log == []
         with pytest.raises(ConnectionRefusedError):
-            await network.loop.create_connection(Side, *ADDRESS)
+            await network.loop.create_connection(RecordingProtocol, *ADDRESS)
 
-    between(test)
+    run_connected(test)
 
 
-def test_what_a_cut_holds_up_arrives_in_order_after_it() -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+def test_data_sent_during_a_partition_arrives_in_order_after_it() -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         network.partition("world", "server")
         network.partition("world", "server")
         client.transport.write(b"one ")
         client.transport.write(b"two")
-        late = asyncio.ensure_future(network.loop.create_connection(Side, *ADDRESS))
+        pending_connection = asyncio.ensure_future(
+            network.loop.create_connection(RecordingProtocol, *ADDRESS)
+        )
         await asyncio.sleep(5)
-        network.heal("world", "server")  # of two
+        network.heal("world", "server")  # ends one of the two partitions
         await asyncio.sleep(5)
-        assert server.data == b"" and not late.done()
+        assert server.data == b"" and not pending_connection.done()
         network.heal("world", "server")
         await asyncio.sleep(0.1)
-        assert server.data == b"one two" and late.done()
+        assert server.data == b"one two" and pending_connection.done()
 
-    between(test)
+    run_connected(test)
 
 
-def test_a_full_queue_hears_nobody_until_there_is_room() -> None:
+def test_connection_attempt_waits_while_the_accept_queue_is_full() -> None:
     loop = SimLoop(1)  # type: ignore[abstract]
     network = Network(loop, 1, 0.001, 0.0, 0.0)
 
     async def main() -> None:
         listener = network.listen(ADDRESS, 2)
-        waiting = [asyncio.ensure_future(loop.create_connection(Side, *ADDRESS)) for _ in range(3)]
+        waiting = [
+            asyncio.ensure_future(loop.create_connection(RecordingProtocol, *ADDRESS)) for _ in range(3)
+        ]
         await asyncio.sleep(1)
-        assert [w.done() for w in waiting].count(True) == 2  # up, though nobody has accepted them
+        assert [w.done() for w in waiting].count(True) == 2  # established before they are accepted
         listener.accept()
         await asyncio.sleep(1)
         assert all(w.done() for w in waiting)
@@ -210,31 +214,31 @@
     loop.run(main())
 
 
-def test_a_timer_and_a_byte_of_one_moment_come_in_either_order() -> None:
-    def first(seed: int) -> str:
+def test_seed_orders_a_timer_and_a_byte_due_at_the_same_time() -> None:
+    def first_event(seed: int) -> str:
         loop = SimLoop(seed)  # type: ignore[abstract]
         network = Network(loop, seed, 1.0, 0.0, 0.0)
         order: list[str] = []
 
-        class Noting(Side):
+        class ByteRecorder(RecordingProtocol):
             def data_received(self, data: bytes) -> None:
                 order.append("byte")
 
         async def main() -> None:
-            listen(SimHost(network), ADDRESS, Noting)
-            client = Side()
+            listen(SimHost(network), ADDRESS, ByteRecorder)
+            client = RecordingProtocol()
             await loop.create_connection(lambda: client, *ADDRESS)
-            at = loop.time()
+            sent_at = loop.time()
             client.transport.write(b"x")
-            loop.call_at(at + 1.0, order.append, "timer")
+            loop.call_at(sent_at + 1.0, order.append, "timer")
             await asyncio.sleep(3)
 
         loop.run(main())
         return order[0]
 
-    firsts = [first(seed) for seed in range(24)]
+    firsts = [first_event(seed) for seed in range(24)]
     assert set(firsts) == {"byte", "timer"}
-    assert firsts == [first(seed) for seed in range(24)]
+    assert firsts == [first_event(seed) for seed in range(24)]
 
 
 @settings(max_examples=60, deadline=None)
@@ -244,10 +248,10 @@
     st.sampled_from([0.0, 0.5, 1.0]),
     st.integers(1, 5000),
 )
-def test_all_bytes_arrive_once_and_in_order_and_then_the_end(
+def test_all_bytes_arrive_once_in_order_and_then_eof(
     chunks: list[bytes], seed: int, split: float, window: int
 ) -> None:
-    async def test(network: Network, client: Side, server: Side) -> None:
+    async def test(network: Network, client: RecordingProtocol, server: RecordingProtocol) -> None:
         for chunk in chunks:
             client.transport.write(chunk)
         client.transport.close()
@@ -255,4 +259,4 @@
         assert server.data == b"".join(chunks)
         assert server.log == ["eof"] and client.log[-1] == "closed"
 
-    between(test, seed, split, window)
+    run_connected(test, seed, split, window)
