--- a/passpost/rehearsal/speech.py
+++ b/passpost/rehearsal/speech.py
@@ -1,5 +1,7 @@
-"""How clients, balancers and nodes write a request to one another: the platform's form, or plain HTTP by an
-operator's file. No I/O."""
+"""Request formats between clients, balancers and nodes: the platform's, and plain HTTP for an operator's file.
+
+No I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,12 +14,14 @@
 from passpost.rehearsal.http import Request, write_request
 from passpost.rehearsal.model import Class
 
-TOLD_S = 0.001  # a plain client names its time only where it has less than its class says
+DEADLINE_TOLERANCE_S = (
+    0.001  # a deadline header is sent only if the time left is below the class's deadline by more than this
+)
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """What a request says. `remaining`: seconds left, None where it does not say."""
+    """The fields of a request. `remaining` is the time left in seconds, None if the request does not give it."""
 
     cls: str
     txn: str
@@ -27,32 +31,32 @@
 
 
 class RequestFormat:
-    """The platform's form: class in the path, the rest in its headers."""
+    """The platform's format: the class is in the path, all else in the platform's headers."""
 
     ready_path = "/health/ready"
 
     def write(self, cls: Class, txn: str, remaining: float, tenant: str, key: str, topic: str = "") -> bytes:
-        """A request."""
+        """Build a request. `remaining`: the time left in seconds; `topic`: a value for the key in the query."""
         return write_request(cls.name, cls.effect, txn, remaining, tenant, key, topic)
 
     def read(self, request: Request) -> ParsedRequest | None:
-        """What a request says; None if it is for no class or has no id."""
+        """Parse a request; None if it names no class or has no id."""
         headers = request.headers
         cls, txn = request.path.lstrip("/").split("/")[0], headers.get("x-txn", "")
         if not cls or not txn:
             return None
-        left = headers.get("x-remaining")
+        remaining = headers.get("x-remaining")
         return ParsedRequest(
             cls,
             txn,
-            None if left is None else float(left),
+            None if remaining is None else float(remaining),
             headers.get("x-org", ""),
             headers.get("idempotency-key", ""),
         )
 
 
 class PlainRequestFormat(RequestFormat):
-    """What ordinary clients send to an application of an operator's file, and what its servers get."""
+    """Plain HTTP, as ordinary clients send it to an application of an operator's file and as its servers get it."""
 
     def __init__(self, application: Application, ready_path: str) -> None:
         self.ready_path = ready_path
@@ -61,38 +65,41 @@
         self._classes = {c.name: c for c in application.classes}
 
     def write(self, cls: Class, txn: str, remaining: float, tenant: str, key: str, topic: str = "") -> bytes:
-        """A request with no header but those that its class and the watch need."""
-        known = self._classes[cls.name]
-        method, path = example_request(known, topic)
+        """Build a request with only the headers that its class and the invariant checker need."""
+        operator_class = self._classes[cls.name]
+        method, path = example_request(operator_class, topic)
         body = b"" if method in ("GET", "OPTIONS") else b"model=%b" % txn.encode()
         lines = [f"{method} {path} HTTP/1.1", "Host: rehearsal", f"{self._identity.id_header}: {txn}"]
         if tenant:
             lines.append(f"{self._identity.tenant_header}: {tenant}")
-        if known.key_header is not None:
-            lines.append(f"{known.key_header}: {key}")
-        if remaining < cls.deadline_ms / 1000 - TOLD_S:
+        if operator_class.key_header is not None:
+            lines.append(f"{operator_class.key_header}: {key}")
+        if remaining < cls.deadline_ms / 1000 - DEADLINE_TOLERANCE_S:
             lines.append(f"{self._identity.deadline_header}: {remaining:.4f}")
         lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
     def read(self, request: Request) -> ParsedRequest | None:
-        """What a request says; None if no class takes it or it has no id."""
+        """Parse a request; None if no class matches it or it has no id."""
         cls, headers = self._routes.find(request.method, request.path), request.headers
         txn = headers.get(self._identity.id_header.lower(), "")
         if cls is None or not txn:
             return None
-        left = float(headers.get(self._identity.deadline_header.lower(), math.nan))
+        remaining = float(headers.get(self._identity.deadline_header.lower(), math.nan))
         return ParsedRequest(
             cls.name,
             txn,
-            None if math.isnan(left) else left,
+            None if math.isnan(remaining) else remaining,
             headers.get(self._identity.tenant_header.lower(), ""),
             headers.get(cls.key_header.lower(), "") if cls.key_header is not None else "",
         )
 
 
 def example_request(cls: operator.Class, topic: str = "") -> tuple[str, str]:
-    """A method and a path that the class is meant to take. HEAD only where it takes nothing else."""
+    """A method and a path that should match the class. HEAD only if the class has no other method.
+
+    `topic` replaces the path's wildcards.
+    """
     method = next((m for m in cls.methods if m != "HEAD"), "HEAD")
-    filled = [(topic or "m1") if s in ("*", "**") else s for s in segments(cls.path)]
-    return method, "/" + "/".join(filled)
+    path_segments = [(topic or "m1") if s in ("*", "**") else s for s in segments(cls.path)]
+    return method, "/" + "/".join(path_segments)
