--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -1,4 +1,4 @@
-"""HTTP as the stand-ins speak it: requests as nodes and the list read them, calls as clients make them."""
+"""HTTP of the simulated clients and servers: connections that receive requests, and calls to balancers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,15 @@
 from passpost.http1 import Answer, AnswerReader, BadAnswerError
 from passpost.rehearsal.stage import Backend, ConnectionEnd
 
-MOST_PAUSE_S = 0.05  # between the pieces of a request
-LATE_ANSWER_GRACE_S = 0.15  # a client that has given up still listens for so long, for the rule on answers
+MAX_PAUSE_S = 0.05  # between the two pieces of a request
+LATE_ANSWER_GRACE_S = (
+    0.15  # how long a client waits beyond its deadline, so that the invariant checker sees late answers
+)
 
 
 @dataclass(slots=True)
 class Request:
-    """One request as it was read. `begun` and `written`: when its first and last byte were sent."""
+    """A received request, with the times at which its first and last bytes were sent."""
 
     method: str
     path: str
@@ -33,102 +35,110 @@
 
 
 class RequestConnection(asyncio.Protocol):
-    """A connection on which requests come, one at a time; subclasses take them in `request_came`."""
+    """A connection that receives requests, one at a time; subclasses handle them in `request_received`."""
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
         self.transport: asyncio.Transport | None = None
         self._parser = httptools.HttpRequestParser(self)
         self._url, self._headers, self._body = b"", dict[str, str](), b""
-        self._begun = math.nan
+        self._first_byte_sent_at = math.nan
 
     def request_received(self, request: Request) -> None:
-        """A whole request is there."""
+        """Called with each complete request."""
         raise NotImplementedError
 
     def connection_closed(self) -> None:
-        """The connection is over."""
+        """Called when the connection is lost."""
 
     def reply(
-        self, status: int, body: bytes = b"", more: str = "", close: bool = False, sized: bool = True
+        self,
+        status: int,
+        body: bytes = b"",
+        extra_headers: str = "",
+        close: bool = False,
+        with_length: bool = True,
     ) -> None:
-        """Answer; one without a length ends with its connection."""
-        close = close or not sized
+        """Send an answer; one without a Content-Length is ended by closing the connection."""
+        close = close or not with_length
         if close:
-            more += "Connection: close\r\n"
-        length = f"Content-Length: {len(body)}\r\n" if sized else ""
-        head = f"HTTP/1.1 {status} X\r\n{length}{more}\r\n".encode()
+            extra_headers += "Connection: close\r\n"
+        length = f"Content-Length: {len(body)}\r\n" if with_length else ""
+        head = f"HTTP/1.1 {status} X\r\n{length}{extra_headers}\r\n".encode()
         self.write(head + body)
         if close and self.transport is not None:
             self.transport.close()
 
     def write(self, data: bytes) -> None:
-        """Send bytes, if there still is somebody."""
+        """Send bytes, unless the connection is closed or closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def abort(self) -> None:
-        """Reset."""
+        """Close the connection at once, discarding unsent data."""
         if self.transport is not None:
             self.transport.abort()
 
-    # ---- asyncio's and httptools' callbacks
+    # ---- callbacks from asyncio and httptools
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """The connection is established."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """It is over."""
+        """The connection is lost."""
         self.transport = None
         self.connection_closed()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes."""
+        """Parse received bytes; answers 400 and closes the connection if they are no valid request."""
         assert self.transport is not None
-        if math.isnan(self._begun):
-            self._begun = self.backend.written_at(self.transport)
+        if math.isnan(self._first_byte_sent_at):
+            self._first_byte_sent_at = self.backend.written_at(self.transport)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.reply(400, close=True)
 
     def on_url(self, url: bytes) -> None:
-        """A piece of the target."""
+        """Part of the request target."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header."""
+        """A header field."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
-        """A piece of the body."""
+        """Part of the body."""
         self._body += data
 
     def on_message_complete(self) -> None:
-        """The request is whole."""
+        """The request is complete."""
         assert self.transport is not None
         path, _, query = self._url.decode("latin-1").partition("?")
         method = self._parser.get_method().decode()
         last_byte_sent_at = self.backend.written_at(self.transport)
-        request = Request(method, path, query, self._headers, self._body, self._begun, last_byte_sent_at)
-        self._url, self._headers, self._body, self._begun = b"", {}, b"", math.nan
+        request = Request(
+            method, path, query, self._headers, self._body, self._first_byte_sent_at, last_byte_sent_at
+        )
+        self._url, self._headers, self._body, self._first_byte_sent_at = b"", {}, b"", math.nan
         self.request_received(request)
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """How a call ended: `answer`, or why there is none.
+    """The result of a call. `end_reason` is `answer`, or why there is no answer:
 
-    `unreached`: no connection; `crossed`: the other side closed it unread; `ended`: closed with no whole
-    answer; `silent`: nothing came in time; `spoilt`: what came was no answer.
+    `unreached`: the connection could not be established; `crossed`: the peer closed the connection before it had
+    read the request; `ended`: the connection closed before a complete answer; `silent`: timed out; `spoilt`: the
+    answer was malformed. Callers may finish a call with reasons of their own.
     """
 
     end_reason: str
     answer: Answer | None = None
 
     def retry_after_s(self) -> float:
-        """The advice in Retry-After; 0 without."""
+        """The value of Retry-After in seconds; 0 without the header."""
         for name, value in self.answer.headers if self.answer is not None else []:
             if name.lower() == b"retry-after":
                 return float(value)
@@ -136,115 +146,117 @@
 
 
 class Call:
-    """A request that is out."""
+    """An outstanding request."""
 
-    def __init__(self, done: Callable[[Result], None]) -> None:
-        self._done: Callable[[Result], None] | None = done
+    def __init__(self, on_done: Callable[[Result], None]) -> None:
+        self._on_done: Callable[[Result], None] | None = on_done
         self.timer: asyncio.TimerHandle | None = None
-        self.line: _Line | None = None
+        self.connection: _ClientConnection | None = None
 
     def finish(self, result: Result) -> None:
-        """Tell how it ended, once."""
-        if self._done is None:
+        """Report the result; only the first call has an effect."""
+        if self._on_done is None:
             return
-        done, self._done = self._done, None
+        on_done, self._on_done = self._on_done, None
         if self.timer is not None:
             self.timer.cancel()
-        line, self.line = self.line, None
-        if line is not None:
-            line.over(result.end_reason == "answer")
-        done(result)
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.call_finished(result.end_reason == "answer")
+        on_done(result)
 
-    def is_over(self) -> bool:
-        """Whether it has been told."""
-        return self._done is None
+    def is_finished(self) -> bool:
+        """Whether the result has been reported."""
+        return self._on_done is None
 
 
-class _Line(asyncio.Protocol):
-    """A connection of ours."""
+class _ClientConnection(asyncio.Protocol):
+    """A client's connection to a balancer."""
 
     def __init__(self, pool: ConnectionPool, balancer: str) -> None:
         self.pool, self.balancer = pool, balancer
         self.call: Call | None = None
         self._reader: AnswerReader | None = None
         self._transport: asyncio.Transport | None = None
-        self._calls = 0
-        self._unwritten: asyncio.TimerHandle | None = None  # the rest of a request that is sent in two pieces
+        self._call_count = 0
+        self._rest_timer: asyncio.TimerHandle | None = None  # sends the second piece of a request
         self._written_at = 0.0
-        self._answer_begun = False
-        self._in_pieces = False  # the request that is out
-        self._ended_early = False  # the other side had ended before the last piece was written
+        self._answer_started = False
+        self._sent_in_pieces = False  # of the outstanding request
+        self._peer_ended_early = False  # the peer had closed before the second piece was written
 
-    def carry(self, call: Call, data: bytes) -> None:
-        """Send a request, now and then in two pieces."""
+    def send(self, call: Call, data: bytes) -> None:
+        """Send a request, in two pieces if the pool draws so."""
         assert self._transport is not None
-        self.call, call.line, self._reader = call, self, AnswerReader()
-        self._calls += 1
-        self._answer_begun, self._ended_early = False, False
-        cut = self.pool.cut(len(data))
-        self._transport.write(data[:cut])
-        self._in_pieces = cut < len(data)
-        if self._in_pieces:
+        self.call, call.connection, self._reader = call, self, AnswerReader()
+        self._call_count += 1
+        self._answer_started, self._peer_ended_early = False, False
+        first_piece_bytes = self.pool.first_piece_bytes(len(data))
+        self._transport.write(data[:first_piece_bytes])
+        self._sent_in_pieces = first_piece_bytes < len(data)
+        if self._sent_in_pieces:
             pause = self.pool.pause_s()
-            self._unwritten = asyncio.get_running_loop().call_later(pause, self._write_rest, data[cut:])
+            self._rest_timer = asyncio.get_running_loop().call_later(
+                pause, self._write_rest, data[first_piece_bytes:]
+            )
         else:
             self._written_at = self.pool.backend.now()
 
     def _write_rest(self, data: bytes) -> None:
-        self._unwritten = None
+        self._rest_timer = None
         if self._transport is not None:
-            self._ended_early = bool(self.pool.backend.host.end_probe(self._transport)(0))
+            self._peer_ended_early = bool(self.pool.backend.host.end_probe(self._transport)(0))
             self._transport.write(data)
             self._written_at = self.pool.backend.now()
 
-    def over(self, answered: bool) -> None:
-        """The call on it has ended; without a whole answer the connection is of no use."""
+    def call_finished(self, answered: bool) -> None:
+        """The call has ended; without a complete answer the connection cannot be reused and is closed."""
         self.call = None
-        unwritten, self._unwritten = self._unwritten, None
-        if unwritten is not None:
-            unwritten.cancel()
-        if not answered or unwritten is not None:
-            self.drop()
-
-    def drop(self) -> None:
-        """Close."""
-        self.pool.forget(self)
+        rest_timer, self._rest_timer = self._rest_timer, None
+        if rest_timer is not None:
+            rest_timer.cancel()
+        if not answered or rest_timer is not None:
+            self.discard()
+
+    def discard(self) -> None:
+        """Close the connection and remove it from the pool."""
+        self.pool.remove_connection(self)
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """The connection is established."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The balancer has closed it."""
-        self.pool.forget(self)
+        """The balancer has closed the connection, or it was reset."""
+        self.pool.remove_connection(self)
         transport, self._transport = self._transport, None
         if self.call is not None and transport is not None:
-            self.call.finish(Result("crossed" if self._crossed(transport, exc) else "ended"))
+            self.call.finish(Result("crossed" if self._closed_before_read(transport, exc) else "ended"))
 
-    def _crossed(self, transport: asyncio.Transport, exc: Exception | None) -> bool:
-        """Whether the request on it was not taken: not written whole, or not read."""
-        if self._unwritten is not None or self._ended_early:
+    def _closed_before_read(self, transport: asyncio.Transport, exc: Exception | None) -> bool:
+        """Whether the outstanding request was not received: not written completely, or not read by the peer."""
+        if self._rest_timer is not None or self._peer_ended_early:
             return True
-        if self._answer_begun:
+        if self._answer_started:
             return False
-        ending = ConnectionEnd(
+        connection_end = ConnectionEnd(
             balancer=self.balancer,
-            known=self._calls > 1 or self._in_pieces,
+            known_to_peer=self._call_count > 1 or self._sent_in_pieces,
             was_reset=isinstance(exc, ConnectionResetError),
             written_at=self._written_at,
             ended_at=self.pool.backend.now(),
         )
-        return self.pool.backend.closed_before_read(transport, ending)
+        return self.pool.backend.closed_before_read(transport, connection_end)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of the answer."""
+        """Parse bytes of the answer."""
         call, reader = self.call, self._reader
         if call is None or reader is None:
-            self.drop()
+            self.discard()
             return
-        self._answer_begun = True
+        self._answer_started = True
         try:
             answer = reader.feed(data)
         except BadAnswerError:
@@ -253,95 +265,97 @@
         if answer is None:
             return
         if answer.reusable:
-            self.pool.rest(self)
+            self.pool.release(self)
         call.finish(Result("answer", answer))
         if not answer.reusable:
-            self.drop()
+            self.discard()
 
 
 class ConnectionPool:
-    """Connections of one process to balancers, kept while they are open. One request at a time on each."""
+    """Persistent connections of one process to balancers, with one request at a time on each."""
 
-    def __init__(self, backend: Backend, pieces: float = 0.0, seed: str = "") -> None:
-        """So large a share of requests, drawn by the seed, is sent in two pieces."""
+    def __init__(self, backend: Backend, split_share: float = 0.0, seed: str = "") -> None:
+        """`split_share` is the share of requests that are sent in two pieces; the seed decides which."""
         self.backend = backend
-        self.idle: dict[_Line, None] = {}
+        self.idle: dict[_ClientConnection, None] = {}
         self._tasks: dict[asyncio.Task[Any], None] = {}
-        self._pieces, self._chance = pieces, random.Random(f"pieces {seed}")
+        self._split_share, self._random = split_share, random.Random(f"pieces {seed}")
 
-    def cut(self, length: int) -> int:
-        """How much of a request is sent at once."""
-        if not self._pieces or self._chance.random() >= self._pieces:
+    def first_piece_bytes(self, length: int) -> int:
+        """Draw how many bytes of a request are sent at once; `length` if it is not split."""
+        if not self._split_share or self._random.random() >= self._split_share:
             return length
-        return self._chance.randrange(1, length)
+        return self._random.randrange(1, length)
 
     def pause_s(self) -> float:
-        """The time between two pieces."""
-        return self._chance.uniform(0.001, MOST_PAUSE_S)
+        """Draw the time between the two pieces, in seconds."""
+        return self._random.uniform(0.001, MAX_PAUSE_S)
 
     def last_idle_balancer(self) -> str | None:
-        """The balancer at the other end of the connection that was used last; None if none is free."""
+        """The balancer of the most recently used idle connection; None if there is no idle connection."""
         return next(reversed(self.idle)).balancer if self.idle else None
 
     def call(
         self,
         balancer: str,
         address: Address,
-        data: Callable[[], bytes],
-        wait: float,
-        done: Callable[[Result], None],
+        build_request: Callable[[], bytes],
+        timeout_s: float,
+        on_done: Callable[[Result], None],
         fresh: bool = False,
     ) -> Call:
-        """Send a request on an idle connection to this balancer or on a new one, and wait so many seconds.
+        """Send a request on an idle connection to the balancer, or on a new one if there is none or if `fresh`.
 
-        `data` is asked for the bytes at the moment when they are written.
+        `build_request` is called when the request is written. `on_done` gets the result, at the latest after `timeout_s`.
         """
-        call = Call(done)
+        call = Call(on_done)
         loop = asyncio.get_running_loop()
-        call.timer = loop.call_later(wait, call.finish, Result("silent"))
-        line = None if fresh else next((x for x in reversed(self.idle) if x.balancer == balancer), None)
-        if line is not None:
-            del self.idle[line]
-            line.carry(call, data())
+        call.timer = loop.call_later(timeout_s, call.finish, Result("silent"))
+        connection = None if fresh else next((x for x in reversed(self.idle) if x.balancer == balancer), None)
+        if connection is not None:
+            del self.idle[connection]
+            connection.send(call, build_request())
         else:
-            task = loop.create_task(self._connect(balancer, address, call, data))
+            task = loop.create_task(self._connect(balancer, address, call, build_request))
             self._tasks[task] = None
             task.add_done_callback(lambda t: self._tasks.pop(t, None))
         return call
 
-    async def _connect(self, balancer: str, address: Address, call: Call, data: Callable[[], bytes]) -> None:
-        line = _Line(self, balancer)
+    async def _connect(
+        self, balancer: str, address: Address, call: Call, build_request: Callable[[], bytes]
+    ) -> None:
+        connection = _ClientConnection(self, balancer)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: line, *address)
+            await asyncio.get_running_loop().create_connection(lambda: connection, *address)
         except OSError:
             call.finish(Result("unreached"))
             return
-        if call.is_over():
-            line.drop()
+        if call.is_finished():
+            connection.discard()
         else:
-            line.carry(call, data())
+            connection.send(call, build_request())
 
-    def rest(self, line: _Line) -> None:
-        """A connection is free again."""
-        self.idle[line] = None
+    def release(self, connection: _ClientConnection) -> None:
+        """Make a connection available for the next call."""
+        self.idle[connection] = None
 
-    def forget(self, line: _Line) -> None:
-        """A connection is over."""
-        self.idle.pop(line, None)
+    def remove_connection(self, connection: _ClientConnection) -> None:
+        """Remove a closed connection from the idle ones."""
+        self.idle.pop(connection, None)
 
     def close(self) -> None:
-        """Drop what is idle."""
-        for line in list(self.idle):
-            line.drop()
+        """Close all idle connections."""
+        for connection in list(self.idle):
+            connection.discard()
 
 
 def write_request(
-    cls: str, effect: str, txn: str, remaining: float, tenant: str, key: str, topic: str = ""
+    class_name: str, effect: str, txn: str, remaining: float, tenant: str, key: str, topic: str = ""
 ) -> bytes:
-    """A request in the balancer's protocol."""
+    """Build a request in the platform's format; `remaining` is the time left in seconds."""
     body = b"" if effect == "safe" else b"model=%b" % txn.encode()
     lines = [
-        f"{'GET' if effect == 'safe' else 'POST'} /{cls}{'?key=' + topic if topic else ''} HTTP/1.1",
+        f"{'GET' if effect == 'safe' else 'POST'} /{class_name}{'?key=' + topic if topic else ''} HTTP/1.1",
         "Host: rehearsal",
         f"X-Txn: {txn}",
         f"X-Remaining: {remaining:.4f}",
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -195,7 +195,7 @@
             return False
         # Bytes that lie unread at a close reset the connection. A plain end may have left before they came, but
         # not long before; and a whole first request on a connection is sure to have been read.
-        return ending.known and (ending.was_reset or ending.ended_at - ending.written_at < CROSSES_S)
+        return ending.known_to_peer and (ending.was_reset or ending.ended_at - ending.written_at < CROSSES_S)
 
 
 def errors_logged(folder: Path) -> list[str]:
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -1,7 +1,7 @@
-"""What a night is played on: a clock, machines that can be paused, cut off and killed, and balancers.
+"""The interface of a simulation backend: the clock, the machines with their failures, and the balancers.
 
-Two of them play the same script: `virtual.py` in simulated time within one process, `live.py` with real
-balancer processes on loopback. All that the world (world.py) does goes through this class or asyncio's loop.
+Two backends run the same scenarios: `virtual.py` in simulated time within one process, and `live.py` with real
+balancer processes on loopback. world.py, which runs a scenario, uses only this interface and asyncio's loop.
 """
 
 from __future__ import annotations
@@ -17,105 +17,112 @@
 
 T = TypeVar("T")
 
-Config = dict[str, Any] | File  # a balancer of the platform's, or a sidecar
+Config = dict[str, Any] | File  # the configuration of a platform balancer, or a sidecar's file
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionEnd:
-    """How a connection ended under a request."""
+    """How a connection with an outstanding request ended. Times are seconds of the backend's clock."""
 
-    balancer: str  # at the other end
-    known: bool  # the other side knew it by a request before, or by half of this one
+    balancer: str  # the peer
+    known_to_peer: bool  # the peer had received an earlier request, or part of this one, on it
     was_reset: bool
-    written_at: float  # the request's last byte
+    written_at: float  # when the request's last byte was written
     ended_at: float
 
 
 class BalancerHandle(ABC):
-    """A balancer that has been started. What `launch` is given as `ended` hears its exit status once."""
+    """A started balancer. `on_exit` of `Backend.launch` is called once, with the exit status, when it exits."""
 
     alive = True
 
     @abstractmethod
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM."""
 
     @abstractmethod
     def interrupt(self) -> None:
-        """SIGINT."""
+        """Send SIGINT."""
 
     @abstractmethod
     def reload(self, config: Config) -> None:
-        """Replace its file and send SIGHUP."""
+        """Replace its configuration file and send SIGHUP."""
 
     @abstractmethod
     def reload_invalid(self) -> None:
-        """Replace its file by one that can't be used and send SIGHUP."""
+        """Replace its configuration file with an invalid one and send SIGHUP."""
 
     @abstractmethod
     def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL; `on_exit` is not called."""
 
 
 class Backend(ABC):
-    """One way to play a night. Times are seconds since `begin`."""
+    """An environment in which scenarios run. Times are seconds since the backend was created."""
 
-    simulated: bool  # whether bytes carry the moment at which they were written
+    simulated: (
+        bool  # time, network and processes are simulated; then the write time of received bytes is known
+    )
     host: Host
 
     @abstractmethod
     def now(self) -> float:
-        """The night's time."""
+        """The current time in seconds."""
 
     @abstractmethod
     def run_as(self, machine: str, call: Callable[[], T]) -> T:
-        """Call something on a machine; its timers and connections belong to it."""
+        """Call a function on a machine, which then owns the timers and connections that the call creates."""
 
     @abstractmethod
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
-        """Start a balancer on a machine of this name."""
+    def launch(
+        self, bound_address: str, config: Config, on_exit: Callable[[int | None], None]
+    ) -> BalancerHandle:
+        """Start a balancer on a machine of the given name."""
 
     @abstractmethod
     def free_address(self) -> Address:
-        """An address on which nobody listens yet, for a balancer."""
+        """An unused address for a balancer to listen on."""
 
     @abstractmethod
     def kill(self, machine: str) -> None:
-        """The process dies: its connections are reset and its listeners gone. A next `run_as` starts anew."""
+        """Kill a machine's process: resets its connections and closes its listeners.
+
+        The next `run_as` for this machine starts a new process.
+        """
 
     @abstractmethod
     def pause(self, machine: str, on: bool) -> None:
-        """Stop it, or let it go on."""
+        """Pause a machine, or resume it if `on` is False."""
 
     @abstractmethod
     def partition(self, a: str, b: str, on: bool) -> None:
-        """Nothing passes between two machines, or again all does."""
+        """Partition two machines from each other, or end a partition if `on` is False."""
 
     @abstractmethod
     def delay(self, machine: str, seconds: float) -> None:
-        """All to and from it takes so much longer (negative: no longer), each way."""
+        """Add to the one-way latency to and from a machine, in seconds; a negative value removes a delay."""
 
     @abstractmethod
-    def set_clock(self, machine: str, by: float) -> None:
-        """Set its wall clock forward or back."""
+    def set_clock(self, machine: str, offset_s: float) -> None:
+        """Move a machine's wall clock by `offset_s` seconds, which may be negative."""
 
     @abstractmethod
     def unix_ms(self) -> float:
-        """What the wall clock of all shows, in milliseconds."""
+        """The wall clock time of machines without a clock offset, in Unix milliseconds."""
 
     @abstractmethod
     def written_at(self, transport: asyncio.BaseTransport) -> float:
-        """When the bytes that are being read were written; now, where that can't be seen."""
+        """When the bytes that are being read were written; the current time if that is unknown."""
 
     @abstractmethod
-    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
-        """Whether the other side closed without having read all that we sent."""
+    def closed_before_read(self, transport: asyncio.BaseTransport, connection_end: ConnectionEnd) -> bool:
+        """Whether the peer closed the connection before it had read everything sent to it."""
 
 
 def listen(
     host: Host, address: Address, factory: Callable[[], asyncio.Protocol], backlog: int = 1024
 ) -> tuple[Address, Callable[[], None]]:
-    """Accept connections from now on; the address that was got, and what ends it."""
+    """Listen and accept connections; returns the bound address and a function that stops listening."""
     loop = asyncio.get_running_loop()
     listener = host.listen(address, backlog)
     tasks: set[asyncio.Task[Any]] = set()
@@ -132,10 +139,10 @@
 
     loop.add_reader(listener, accept)
 
-    def end() -> None:
+    def stop() -> None:
         if listener.fileno() >= 0:
             loop.remove_reader(listener)
             listener.close()
 
-    name = listener.getsockname()
-    return (str(name[0]), int(name[1])), end
+    bound_address = listener.getsockname()
+    return (str(bound_address[0]), int(bound_address[1])), stop
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -1,7 +1,7 @@
-"""Plays a night in simulated time, all balancers in this one process, each with its real parts.
+"""Runs a scenario in simulated time, with all balancers in one process.
 
-The balancers' server, engine, upstream and discovery modules run as they are, on `SimLoop` and `Network`; the
-module's decisions are written down on their way out.
+The balancers' server, engine, upstream and discovery modules run unchanged on `SimLoop` and `Network`. The actions
+that the decision module returns can be recorded.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 Sink = Callable[[str], None]
 
 
-def recorded(base: type[Balancer], name: str, now: Callable[[], float], sink: Sink) -> type[Balancer]:
-    """A module that decides as `base` does and writes down each routing decision, one line for each."""
+def recording_class(base: type[Balancer], name: str, now: Callable[[], float], sink: Sink) -> type[Balancer]:
+    """Derive a balancer class that behaves like `base` and passes each routing decision to `sink` as a line."""
 
-    class Recorded(base):  # type: ignore[misc, valid-type]
+    class RecordingBalancer(base):  # type: ignore[misc, valid-type]
         def handle(self, event: interface.Event, at: float) -> list[interface.Action]:
             actions: list[interface.Action] = super().handle(event, at)
             for action in actions:
@@ -43,20 +43,20 @@
                         sink(f"{now():.6f} {name} {request} send {server} {timeout:.3f}")
                     case interface.Cancel(request, attempt):
                         sink(f"{now():.6f} {name} {request} cancel {attempt}")
-                    case interface.Refuse(request, away):
-                        sink(f"{now():.6f} {name} {request} refuse - {away:.3f}")
+                    case interface.Refuse(request, retry_after_s):
+                        sink(f"{now():.6f} {name} {request} refuse - {retry_after_s:.3f}")
                     case interface.Fail(request):
                         sink(f"{now():.6f} {name} {request} fail -")
             return actions
 
-    return Recorded
+    return RecordingBalancer
 
 
-class _Running(BalancerHandle):
+class _SimulatedBalancer(BalancerHandle):
     def __init__(
-        self, backend: VirtualBackend, process: Process, ended: Callable[[int | None], None]
+        self, backend: VirtualBackend, process: Process, on_exit: Callable[[int | None], None]
     ) -> None:
-        self._backend, self._process, self._ended = backend, process, ended
+        self._backend, self._process, self._on_exit = backend, process, on_exit
         self.node: Node | Sidecar | None = None
 
     def terminate(self) -> None:
@@ -68,9 +68,9 @@
                     await node.stop()
                 except Exception as error:
                     self._backend.faults.append(f"{self._process.name}: {error!r} on SIGTERM")
-                    self._over(1)
+                    self._exited(1)
                 else:
-                    self._over(0)
+                    self._exited(0)
 
             self._backend.loop.run_as(self._process, lambda: self._backend.loop.create_task(stop()))
 
@@ -85,7 +85,7 @@
         if not self.alive:
             return
 
-        def take() -> None:
+        def apply_config() -> None:
             if isinstance(self.node, Sidecar):
                 assert isinstance(config, File)
                 self.node.reload(config)
@@ -93,37 +93,41 @@
                 assert isinstance(config, dict)
                 self.node.reload(platform.read(config))
 
-        self._backend.loop.run_as(self._process, take)
+        self._backend.loop.run_as(self._process, apply_config)
 
     def kill(self) -> None:
         if self.alive:
             self.alive = False
-            self._backend.bury(self._process)
+            self._backend.remove_process(self._process)
 
-    def _over(self, status: int) -> None:
+    def _exited(self, status: int) -> None:
         if self.alive:
             self.alive = False
-            self._backend.bury(self._process)
-            self._ended(status)
+            self._backend.remove_process(self._process)
+            self._on_exit(status)
 
 
 class VirtualBackend(Backend):
-    """Simulated clock, network and processes."""
+    """The backend with a simulated clock, network and processes."""
 
     simulated = True
 
     def __init__(
         self, script: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
-        self.loop = SimLoop(seed)  # type: ignore[abstract]  # what it lacks, no balancer uses
-        wires = script.network
+        self.loop = SimLoop(seed)  # type: ignore[abstract]  # the balancers use none of the methods that it lacks
+        network_settings = script.network
         self.simulated_network = Network(
-            self.loop, seed, wires.latency_ms / 1000, wires.jitter_ms / 1000, wires.split
+            self.loop,
+            seed,
+            network_settings.latency_ms / 1000,
+            network_settings.jitter_ms / 1000,
+            network_settings.split,
         )
         self.host = SimHost(self.simulated_network, self.loop.world)
         self._seed, self._sink, self._module = seed, sink, module
         self._processes: dict[str, Process] = {}
-        self._ports = 7_000
+        self._last_port = 7_000
         self.faults: list[str] = []
 
     def now(self) -> float:
@@ -136,13 +140,13 @@
             self.loop.processes.append(process)
         return self.loop.run_as(process, call)
 
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
+    def launch(self, name: str, config: Config, on_exit: Callable[[int | None], None]) -> BalancerHandle:
         process = self._processes[name] = Process(name)
         self.loop.processes.append(process)
-        running = _Running(self, process, ended)
+        running = _SimulatedBalancer(self, process, on_exit)
         module = self._module
         if self._sink is not None:
-            module = recorded(module, name, self.now, self._sink)
+            module = recording_class(module, name, self.now, self._sink)
 
         host, seed = SimHost(self.simulated_network, process), f"{self._seed} {name} {self.now()}"
 
@@ -154,17 +158,17 @@
                     running.node = Node(platform.read(config), host, module)
             except Exception as error:
                 self.faults.append(f"{name} did not start: {error!r}")
-                running._over(1)
+                running._exited(1)
 
         self.loop.run_as(process, lambda: self.loop.call_soon(start))
         return running
 
     def free_address(self) -> Address:
-        self._ports += 1
-        return "127.0.0.1", self._ports
+        self._last_port += 1
+        return "127.0.0.1", self._last_port
 
-    def bury(self, process: Process) -> None:
-        """A process is dead: nothing of it runs any more, and its connections are reset."""
+    def remove_process(self, process: Process) -> None:
+        """Remove a dead process: none of its callbacks run any more, and its connections are reset."""
         self.loop.kill(process)
         self.simulated_network.drop_process(process)
         if self._processes.get(process.name) is process:
@@ -172,7 +176,7 @@
 
     def kill(self, machine: str) -> None:
         if (process := self._processes.get(machine)) is not None:
-            self.bury(process)
+            self.remove_process(process)
 
     def pause(self, machine: str, on: bool) -> None:
         process = self._processes.get(machine)
@@ -190,9 +194,9 @@
             self.simulated_network.extra_latency_s.get(machine, 0.0) + seconds
         )
 
-    def set_clock(self, machine: str, by: float) -> None:
+    def set_clock(self, machine: str, offset_s: float) -> None:
         if (process := self._processes.get(machine)) is not None:
-            process.wall_offset_s += by
+            process.wall_offset_s += offset_s
 
     def unix_ms(self) -> float:
         return self.host.unix() * 1000
@@ -201,13 +205,13 @@
         assert isinstance(transport, SimTransport)
         return transport.endpoint.sent_at
 
-    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
+    def closed_before_read(self, transport: asyncio.BaseTransport, connection_end: ConnectionEnd) -> bool:
         assert isinstance(transport, SimTransport)
-        return transport.endpoint.in_flight_bytes > 0  # on their way still, or unread when it closed
+        return transport.endpoint.in_flight_bytes > 0  # in transit, or unread when the peer closed
 
 
-class _Faults(logging.Handler):
-    """Errors that the balancers log are faults of the night; what else they say is dropped."""
+class _FaultCollector(logging.Handler):
+    """Records errors that the balancers log as faults of the run; other log records are dropped."""
 
     def __init__(self, backend: VirtualBackend) -> None:
         super().__init__(logging.ERROR)
@@ -228,12 +232,12 @@
     module: type[Balancer] = Balancer,
     file: File | None = None,
 ) -> Night:
-    """One whole night in simulated time. `file` takes the place of the operator's file that the script names."""
-    begun = time.perf_counter()
+    """Run a scenario in simulated time. `file` replaces the operator's file that the scenario names."""
+    started_at = time.perf_counter()
     backend = VirtualBackend(script, seed, sink, module)
     world = World(backend, script, seed, progress, file)
-    log, handler = logging.getLogger("passpost"), _Faults(backend)
-    before = log.propagate
+    log, handler = logging.getLogger("passpost"), _FaultCollector(backend)
+    propagated = log.propagate
     log.addHandler(handler)
     log.propagate = False
     try:
@@ -245,7 +249,7 @@
         night.ended = backend.now()
     finally:
         log.removeHandler(handler)
-        log.propagate = before
+        log.propagate = propagated
     night.faults += backend.faults + backend.loop.faults
-    night.wall_s = time.perf_counter() - begun
+    night.wall_s = time.perf_counter() - started_at
     return night
