--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -62,7 +62,7 @@
     both = {"virtual": virtual.play(script, script.seed)}
     try:
         both["live"] = live.play(script, script.seed)
-    except live.UnplayableError as error:
+    except live.UnsupportedScenarioError as error:
         return {"script": Path(path).stem, "not played live": str(error)}
     row: dict[str, Any] = {"script": Path(path).stem}
     for host, night in both.items():
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -65,12 +65,12 @@
                 sink.write(line + "\n")
 
         if live:
-            from passpost.rehearsal.live import UnplayableError
+            from passpost.rehearsal.live import UnsupportedScenarioError
             from passpost.rehearsal.live import play as play_live
 
             try:
                 night = play_live(night_script, chosen, write, progress)
-            except UnplayableError as error:
+            except UnsupportedScenarioError as error:
                 raise UnusableError(f"{script}: {error}") from None
         else:
             from passpost.rehearsal.virtual import play
--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -129,9 +129,9 @@
 class Result:
     """The result of a call. `end_reason` is `answer`, or why there is no answer:
 
-    `unreached`: the connection could not be established; `crossed`: the peer closed the connection before it had
-    read the request; `ended`: the connection closed before a complete answer; `silent`: timed out; `spoilt`: the
-    answer was malformed. Callers may finish a call with reasons of their own.
+    `unreached`: the connection could not be established; `crossed`: the peer closed the connection before it
+    had read the request; `ended`: the connection closed before a complete answer; `silent`: timed out;
+    `spoilt`: the answer was malformed. Callers may finish a call with reasons of their own.
     """
 
     end_reason: str
@@ -236,7 +236,7 @@
             self.call.finish(Result("crossed" if self._closed_before_read(transport, exc) else "ended"))
 
     def _closed_before_read(self, transport: asyncio.Transport, exc: Exception | None) -> bool:
-        """Whether the outstanding request was not received: not written completely, or not read by the peer."""
+        """Whether the peer did not receive the request: not written completely, or not read."""
         if self._rest_timer is not None or self._peer_ended_early:
             return True
         if self._answer_started:
@@ -304,9 +304,9 @@
         on_done: Callable[[Result], None],
         fresh: bool = False,
     ) -> Call:
-        """Send a request on an idle connection to the balancer, or on a new one if there is none or if `fresh`.
+        """Send a request on an idle connection to a balancer, or on a new one if none is idle or if `fresh`.
 
-        `build_request` is called when the request is written. `on_done` gets the result, at the latest after `timeout_s`.
+        `build_request` is called when the request is written; `on_done` gets the result within `timeout_s`.
         """
         call = Call(on_done)
         loop = asyncio.get_running_loop()
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -1,9 +1,9 @@
-"""Plays a night in real time against real balancer processes, `python -m passpost`, on loopback.
+"""Runs a scenario in real time with real balancer processes, `python -m passpost`, on loopback.
 
-Nodes, clients and the list run in this process; each balancer is a process of its own with its own files.
-What an ordinary user can't ask of a real machine is refused: setting a clock, and cuts and delays that do not
-end at a node. A node that is paused, cut off or delayed does so itself, so that new connections to it still
-come up; on simulated wires they don't.
+Nodes, clients and discovery run in this process; each balancer is a process of its own with its own files.
+Scenarios that need privileges on a real machine are rejected: setting a clock, and partitions and delays that
+do not have nodes on one side. A node simulates its own pauses, partitions and delays. New connections to it
+are therefore still established, unlike on the simulated network.
 """
 
 from __future__ import annotations
@@ -35,80 +35,89 @@
 
 T = TypeVar("T")
 
-CROSSES_S = 0.5  # on loopback an end arrives at once; the rest is for a busy machine
-LOOK_S = 0.02  # how soon the end of a balancer is seen
-UNUSABLE = "{"  # neither JSON nor TOML
-MOST_BALANCERS = 1_024  # processes on one machine, of some 20 MB each
+MAX_UNREAD_CLOSE_S = 0.5  # a close arrives at once on loopback; the time allows for a busy machine
+EXIT_POLL_S = 0.02  # interval at which a balancer process is polled for its exit
+INVALID_CONFIG = "{"  # neither JSON nor TOML
+MAX_BALANCERS = 1_024  # processes on one machine, of about 20 MB each
 
 
-class UnplayableError(Exception):
-    """A script that needs what a live night has not."""
+class UnsupportedScenarioError(Exception):
+    """The scenario needs something that the live backend does not support."""
 
 
 def check(script: Script) -> None:
-    """Raises UnplayableError with the event that can't be played live."""
+    """Raises UnsupportedScenarioError, naming the event, if a scenario can't run on the live backend."""
     nodes = set(script.node_names())
-    if len(script.balancer_names()) > MOST_BALANCERS:
-        raise UnplayableError(f"tiers: over {MOST_BALANCERS} balancers, too many processes to play live")
+    if len(script.balancer_names()) > MAX_BALANCERS:
+        raise UnsupportedScenarioError(
+            f"tiers: over {MAX_BALANCERS} balancers, too many processes to play live"
+        )
     for i, event in enumerate(script.events):
         if isinstance(event, model.Clock):
-            raise UnplayableError(
-                f"events[{i}].kind: 'clock' can't be played live, as it would need privileges"
+            raise UnsupportedScenarioError(
+                f"events[{i}].kind: 'clock' can't be played live: setting a clock needs privileges"
             )
         if isinstance(event, model.Partition):
-            sides = [_matching(side, script) for side in (event.a, event.b)]
+            sides = [_matching_names(side, script) for side in (event.a, event.b)]
             if not any(side <= nodes for side in sides):
-                raise UnplayableError(f"events[{i}].a: live, one side of a partition must be nodes only")
-        if isinstance(event, model.Delay) and not _matching(event.nodes, script) <= nodes:
-            raise UnplayableError(f"events[{i}].nodes: live, only nodes can be delayed")
-        others = {"clients", "discovery"}
-        if isinstance(event, model.Pause) and _matching(event.nodes, script) & others:
-            raise UnplayableError(f"events[{i}].nodes: live, only nodes and balancers can be paused")
+                raise UnsupportedScenarioError(
+                    f"events[{i}].a: live, one side of a partition must be nodes only"
+                )
+        if isinstance(event, model.Delay) and not _matching_names(event.nodes, script) <= nodes:
+            raise UnsupportedScenarioError(f"events[{i}].nodes: live, only nodes can be delayed")
+        not_pausable = {"clients", "discovery"}
+        if isinstance(event, model.Pause) and _matching_names(event.nodes, script) & not_pausable:
+            raise UnsupportedScenarioError(f"events[{i}].nodes: live, only nodes and balancers can be paused")
 
 
-def _matching(patterns: tuple[str, ...], script: Script) -> set[str]:
+def _matching_names(patterns: tuple[str, ...], script: Script) -> set[str]:
     names = [*script.node_names(), *script.balancer_names(), "clients", "discovery"]
     return {n for n in names if any(fnmatchcase(n, p) for p in patterns)}
 
 
-class _Process(BalancerHandle):
+class _BalancerProcess(BalancerHandle):
     def __init__(
-        self, backend: LiveBackend, name: str, config: Config, ended: Callable[[int | None], None]
+        self, backend: LiveBackend, name: str, config: Config, on_exit: Callable[[int | None], None]
     ) -> None:
-        self._ended, self._backend, self._name = ended, backend, name
+        self._on_exit, self._backend, self._name = on_exit, backend, name
         if isinstance(config, File):
             self._path = backend.folder / f"{name}.toml"
-            command, more = ["passpost.cli", "run", str(self._path)], dict(carried.environment(config))
+            command, extra_environment = (
+                ["passpost.cli", "run", str(self._path)],
+                dict(carried.environment(config)),
+            )
             if backend.workers > 1:
                 command += ["--workers", str(backend.workers)]
         else:
             self._path = backend.folder / f"{name}.json"
-            command, more = ["passpost"], {"EDGE_CONFIG": str(self._path)}
+            command, extra_environment = ["passpost"], {"EDGE_CONFIG": str(self._path)}
         self._write(config)
         with open(backend.folder / f"{name}.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *command],
-                env=os.environ | more,
+                env=os.environ | extra_environment,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
             )
-        self._look()
+        self._poll_exit()
 
     def _write(self, config: Config) -> None:
-        whole = self._path.with_suffix(".new")
-        whole.write_text(render(config) if isinstance(config, File) else json.dumps(config), encoding="utf-8")
-        whole.replace(self._path)
+        new_file = self._path.with_suffix(".new")
+        new_file.write_text(
+            render(config) if isinstance(config, File) else json.dumps(config), encoding="utf-8"
+        )
+        new_file.replace(self._path)
 
-    def _look(self) -> None:
+    def _poll_exit(self) -> None:
         if not self.alive:
             return
         status = self.process.poll()
         if status is None:
-            asyncio.get_running_loop().call_later(LOOK_S, self._look)
+            asyncio.get_running_loop().call_later(EXIT_POLL_S, self._poll_exit)
         else:
             self.alive = False
-            self._ended(status)
+            self._on_exit(status)
 
     def terminate(self) -> None:
         if self.alive:
@@ -125,7 +134,7 @@
 
     def reload_invalid(self) -> None:
         if self.alive:
-            self._path.write_text(UNUSABLE, encoding="utf-8")
+            self._path.write_text(INVALID_CONFIG, encoding="utf-8")
             self.process.send_signal(signal.SIGHUP)
 
     def kill(self) -> None:
@@ -137,37 +146,37 @@
 
 
 class LiveBackend(Backend):
-    """The machine's clock and loopback."""
+    """The backend with the machine's clock, loopback and balancer processes."""
 
     simulated = False
     host = HOST
 
     def __init__(self, folder: Path, workers: int = 1) -> None:
         self.folder, self.workers = folder, workers
-        self.killed_at: dict[str, float] = {}  # balancers that were killed, and when last
-        self._count = 0
-        self._begin = time.monotonic()
-        self.running: dict[str, _Process] = {}
+        self.killed_at: dict[str, float] = {}  # the latest kill of each killed balancer
+        self._address_count = 0
+        self._started_at = time.monotonic()
+        self.running: dict[str, _BalancerProcess] = {}
 
     def now(self) -> float:
-        return time.monotonic() - self._begin
+        return time.monotonic() - self._started_at
 
     def run_as(self, machine: str, call: Callable[[], T]) -> T:
         return call()
 
-    def launch(self, name: str, config: Config, ended: Callable[[int | None], None]) -> BalancerHandle:
-        running = self.running[name] = _Process(self, name, config, ended)
+    def launch(self, name: str, config: Config, on_exit: Callable[[int | None], None]) -> BalancerHandle:
+        running = self.running[name] = _BalancerProcess(self, name, config, on_exit)
         return running
 
     def free_address(self) -> Address:
-        # An address of its own: on 127.0.0.1 an outgoing connection could take the port before the balancer.
-        self._count += 1
-        host = f"127.1.{self._count // 250}.{self._count % 250 + 1}"
-        with socket.create_server((host, 0)) as held:
-            return host, int(held.getsockname()[1])
+        # A separate address: on 127.0.0.1 an outgoing connection could take the port before the balancer.
+        self._address_count += 1
+        host = f"127.1.{self._address_count // 250}.{self._address_count % 250 + 1}"
+        with socket.create_server((host, 0)) as reserved:
+            return host, int(reserved.getsockname()[1])
 
     def kill(self, machine: str) -> None:
-        """Nodes close by themselves."""
+        """Does nothing: nodes run in this process and close their own connections."""
 
     def pause(self, machine: str, on: bool) -> None:
         running = self.running.get(machine)
@@ -175,13 +184,13 @@
             running.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def partition(self, a: str, b: str, on: bool) -> None:
-        raise AssertionError("the world freezes nodes instead")
+        raise AssertionError("partitions are simulated by the nodes")
 
     def delay(self, machine: str, seconds: float) -> None:
-        raise AssertionError("the world delays nodes instead")
+        raise AssertionError("delays are simulated by the nodes")
 
-    def set_clock(self, machine: str, by: float) -> None:
-        raise AssertionError("refused by check")
+    def set_clock(self, machine: str, offset_s: float) -> None:
+        raise AssertionError("check rejects scenarios that set a clock")
 
     def unix_ms(self) -> float:
         return time.time() * 1000
@@ -189,23 +198,26 @@
     def written_at(self, transport: asyncio.BaseTransport) -> float:
         return self.now()
 
-    def closed_before_read(self, transport: asyncio.BaseTransport, ending: ConnectionEnd) -> bool:
-        # A balancer that was killed had closed nothing until then: what was written to it before is lost.
-        if ending.written_at < self.killed_at.get(ending.balancer, -math.inf):
+    def closed_before_read(self, transport: asyncio.BaseTransport, connection_end: ConnectionEnd) -> bool:
+        # A killed balancer had not closed the connection before: a request written earlier counts as lost.
+        if connection_end.written_at < self.killed_at.get(connection_end.balancer, -math.inf):
             return False
-        # Bytes that lie unread at a close reset the connection. A plain end may have left before they came, but
-        # not long before; and a whole first request on a connection is sure to have been read.
-        return ending.known_to_peer and (ending.was_reset or ending.ended_at - ending.written_at < CROSSES_S)
+        # A close with unread bytes resets the connection. A plain close may have been sent before the bytes
+        # arrived, but not long before. A complete first request on a connection is certain to have been read.
+        return connection_end.known_to_peer and (
+            connection_end.was_reset
+            or connection_end.ended_at - connection_end.written_at < MAX_UNREAD_CLOSE_S
+        )
 
 
-def errors_logged(folder: Path) -> list[str]:
-    """Errors that nobody caught, by balancer: the last line of each traceback in its log."""
+def logged_exceptions(folder: Path) -> list[str]:
+    """Uncaught exceptions with their balancers: the line after the stack of each traceback in the logs."""
     found = []
     for path in sorted(folder.glob("*.log")):
         text = path.read_text(encoding="utf-8", errors="replace")
         for traceback in text.split("Traceback (most recent call last):")[1:]:
             lines = [line for line in traceback.splitlines() if line and not line.startswith(" ")]
-            found.append(f"{path.stem}: {lines[0] if lines else 'a traceback that is partition off'}")
+            found.append(f"{path.stem}: {lines[0] if lines else 'an incomplete traceback'}")
     return found
 
 
@@ -217,12 +229,13 @@
     workers: int = 1,
     ready_within: float | None = None,
 ) -> Night:
-    """One whole night in real time. `sink` gets attempts as nodes see them, and refusals as clients do.
+    """Run a scenario in real time.
 
-    A sidecar runs as so many `workers`; `ready_within`: see World.
+    `sink` gets a line for each attempt that a node receives and for each refusal that a client receives.
+    `workers` is the number of worker processes of a sidecar. `ready_within`: see World.
     """
     check(script)
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="passpost-") as folder:
 
         async def night() -> Night:
@@ -236,6 +249,6 @@
                     running.kill()
 
         result = uvloop.run(night())
-        result.faults += errors_logged(Path(folder))
-    result.wall_s = time.perf_counter() - begun
+        result.faults += logged_exceptions(Path(folder))
+    result.wall_s = time.perf_counter() - started_at
     return result
--- a/passpost/rehearsal/loop.py
+++ b/passpost/rehearsal/loop.py
@@ -2,13 +2,13 @@
 
 The loop guarantees the following:
 
-1. Simulated time advances only when no callback is ready, and then directly to the next timer. A simulation of
-   several minutes therefore takes only as long as its callbacks take to run.
-2. Callbacks run in the order of their `call_soon` calls, as asyncio guarantees. asyncio does not define the order
-   of timers and arriving bytes that are due at exactly the same time; this order is drawn from the seed. Nothing
-   else affects it: no hash, no object id and no real clock. The same seed reproduces the same run.
-3. Every callback belongs to the simulated process that scheduled it. The callbacks of a killed process never run;
-   those of a paused process run when it resumes, late, as after SIGSTOP and SIGCONT.
+1. Simulated time advances only when no callback is ready, and then directly to the next timer. A simulation
+   of several minutes therefore takes only as long as its callbacks take to run.
+2. Callbacks run in the order of their `call_soon` calls, as asyncio guarantees. asyncio does not define the
+   order of timers and arriving bytes that are due at exactly the same time; the seed decides this order.
+   It depends on nothing else: on no hash, object id or real clock. The same seed reproduces the same run.
+3. Every callback belongs to the simulated process that scheduled it. The callbacks of a killed process never
+   run; those of a paused process run when it resumes, late, as after SIGSTOP and SIGCONT.
 
 Tasks, futures, streams and timeouts are asyncio's own, unchanged.
 """
@@ -108,7 +108,7 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: contextvars.Context | None = None
     ) -> asyncio.TimerHandle:
-        """Schedule a callback at a time; the seed decides the order of callbacks due at exactly the same time."""
+        """Schedule a callback at a time; the seed orders callbacks that are due at exactly the same time."""
         timer = _Timer(when, callback, args, self, context)
         timer.process = self.current
         self._timer_count += 1
@@ -130,7 +130,7 @@
     # ---- simulated processes
 
     def spawn(self, name: str, start: Callable[[], T]) -> tuple[Process, T]:
-        """Create a process and call `start` at once on its behalf; returns the process and the call's result."""
+        """Create a process and call `start` on its behalf; returns the process and the call's result."""
         process = Process(name)
         self.processes.append(process)
         return process, self.run_as(process, start)
@@ -144,7 +144,7 @@
             self.current = previous_process
 
     def kill(self, process: Process) -> None:
-        """Simulate SIGKILL. The caller also has to call `Network.drop_process`, which resets its connections."""
+        """Simulate SIGKILL; `Network.drop_process` resets the process's connections."""
         process.alive = False
         process.deferred.clear()
 
@@ -191,7 +191,7 @@
                     when = timers[0][0]
                     if when > self._now:
                         self._now, callbacks_at_this_time = when, 0
-                    # One timer at a time: bytes that arrive at this time may cancel another timer that is due now.
+                    # One timer at a time: bytes that arrive now may cancel another timer that is due now.
                     ready.append(heappop(timers)[3])
                 handle = ready.popleft()
                 if handle._cancelled:
@@ -225,7 +225,7 @@
         return self._closed
 
     def close(self) -> None:
-        """Close the loop: all processes are marked dead, so the cleanup of their pending tasks has no effect."""
+        """Close the loop and mark all processes dead, so that the cleanup of pending tasks has no effect."""
         self._closed = True
         self._ready.clear()
         self._timers.clear()
--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -2,14 +2,15 @@
 
 The balancer's guarantees depend on the following behaviour:
 
-- A write is accepted as far as the window has room; bytes that the peer has not read fill the window. The first
-  byte above the transport's high-water mark that is not accepted makes `write` call `pause_writing` before it
-  returns; `resume_writing` follows when the buffer has drained to the low-water mark.
-- Bytes arrive in order, after the latency. A read returns what has arrived; the seed may split it into pieces.
+- A write is accepted as far as the window has room; bytes that the peer has not read fill it. Once the
+  bytes that were not accepted exceed the transport's high-water mark, `write` calls `pause_writing` before it
+  returns (with a mark of 0, at the first such byte); `resume_writing` follows at the low-water mark.
+- Bytes arrive in order, after the latency. A read returns what has arrived; the seed may split it into
+  pieces.
 - `write_eof` closes one direction only. `close` sends the buffered bytes and then EOF; if received bytes are
   unread, it resets the connection instead. A reset discards the bytes that the other side has not read.
-- A listener has an accept queue. A connection is established once it is in the queue, whether or not it has been
-  accepted. While the queue is full, a connection attempt gets no answer; it succeeds when there is room.
+- A listener has an accept queue. A connection is established once it is in the queue, whether or not it has
+  been accepted. While the queue is full, a connection attempt gets no answer; it succeeds when there is room.
 - Nothing passes between partitioned machines; data sent during a partition arrives after it.
 """
 
@@ -471,11 +472,11 @@
         if self._partitions[pair] <= 0:
             del self._partitions[pair]
             undelivered, self.undelivered = self.undelivered, []
-            for source, destination, deliver in undelivered:
+            for source, destination, call in undelivered:
                 if frozenset((source, destination)) == pair:
-                    self.loop.run_as(self.loop.world, lambda deliver=deliver: self.loop.call_soon(deliver))  # type: ignore[misc]
+                    self.loop.run_as(self.loop.world, lambda call=call: self.loop.call_soon(call))  # type: ignore[misc]
                 else:
-                    self.undelivered.append((source, destination, deliver))
+                    self.undelivered.append((source, destination, call))
 
     def is_partitioned(self, a: str, b: str) -> bool:
         """Whether two machines are partitioned."""
@@ -511,7 +512,10 @@
         return MAX_READ_BYTES
 
     def listen(self, address: Address, backlog: int) -> SimListener:
-        """Create a listener of the current process; port 0 selects a free port. Raises OSError if it is in use."""
+        """Create a listener of the current process; port 0 selects a free port.
+
+        Raises OSError if the address is in use.
+        """
         host, port = address
         while port == 0 or (host, port) in self.listeners:
             if port:
@@ -568,7 +572,7 @@
             delay = self.draw_latency_s(server_name, client_process.name)
             loop.run_as(client_process, lambda: loop.call_later(delay, complete))
 
-        # The kernel goes on connecting while the process is paused, so the loop's world process owns the callback.
+        # The kernel goes on connecting while the process is paused, so the world process owns the callback.
         loop.run_as(
             loop.world,
             lambda: loop.call_later(self.draw_latency_s(client_process.name, server_name), try_connect),
--- a/passpost/rehearsal/speech.py
+++ b/passpost/rehearsal/speech.py
@@ -1,4 +1,4 @@
-"""Request formats between clients, balancers and nodes: the platform's, and plain HTTP for an operator's file.
+"""Request formats of clients, balancers and nodes: the platform's, and plain HTTP for an operator's file.
 
 No I/O.
 """
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """The fields of a request. `remaining` is the time left in seconds, None if the request does not give it."""
+    """The fields of a request. `remaining`: the time left in seconds, None if it is not given."""
 
     cls: str
     txn: str
@@ -36,7 +36,7 @@
     ready_path = "/health/ready"
 
     def write(self, cls: Class, txn: str, remaining: float, tenant: str, key: str, topic: str = "") -> bytes:
-        """Build a request. `remaining`: the time left in seconds; `topic`: a value for the key in the query."""
+        """Build a request. `remaining`: the time left in seconds; `topic`: the query's `key`."""
         return write_request(cls.name, cls.effect, txn, remaining, tenant, key, topic)
 
     def read(self, request: Request) -> ParsedRequest | None:
@@ -56,7 +56,7 @@
 
 
 class PlainRequestFormat(RequestFormat):
-    """Plain HTTP, as ordinary clients send it to an application of an operator's file and as its servers get it."""
+    """Plain HTTP between ordinary clients, an application of an operator's file and its servers."""
 
     def __init__(self, application: Application, ready_path: str) -> None:
         self.ready_path = ready_path
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -1,7 +1,8 @@
 """The interface of a simulation backend: the clock, the machines with their failures, and the balancers.
 
-Two backends run the same scenarios: `virtual.py` in simulated time within one process, and `live.py` with real
-balancer processes on loopback. world.py, which runs a scenario, uses only this interface and asyncio's loop.
+Two backends run the same scenarios: `virtual.py` in simulated time within one process, and `live.py` with
+real balancer processes on loopback. world.py, which runs a scenario, uses only this interface and asyncio's
+loop.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class BalancerHandle(ABC):
-    """A started balancer. `on_exit` of `Backend.launch` is called once, with the exit status, when it exits."""
+    """A started balancer. When it exits, `on_exit` of `Backend.launch` is called once with its status."""
 
     alive = True
 
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -1,7 +1,7 @@
 """Runs a scenario in simulated time, with all balancers in one process.
 
-The balancers' server, engine, upstream and discovery modules run unchanged on `SimLoop` and `Network`. The actions
-that the decision module returns can be recorded.
+The balancers' server, engine, upstream and discovery modules run unchanged on `SimLoop` and `Network`. The
+routing decisions of the balancers can be recorded.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def recording_class(base: type[Balancer], name: str, now: Callable[[], float], sink: Sink) -> type[Balancer]:
-    """Derive a balancer class that behaves like `base` and passes each routing decision to `sink` as a line."""
+    """Derive a class that decides as `base` does and passes each routing decision to `sink` as a line."""
 
     class RecordingBalancer(base):  # type: ignore[misc, valid-type]
         def handle(self, event: interface.Event, at: float) -> list[interface.Action]:
@@ -43,8 +43,8 @@
                         sink(f"{now():.6f} {name} {request} send {server} {timeout:.3f}")
                     case interface.Cancel(request, attempt):
                         sink(f"{now():.6f} {name} {request} cancel {attempt}")
-                    case interface.Refuse(request, retry_after_s):
-                        sink(f"{now():.6f} {name} {request} refuse - {retry_after_s:.3f}")
+                    case interface.Refuse(request, retry_after_ms):
+                        sink(f"{now():.6f} {name} {request} refuse - {retry_after_ms:.3f}")
                     case interface.Fail(request):
                         sink(f"{now():.6f} {name} {request} fail -")
             return actions
@@ -115,7 +115,7 @@
     def __init__(
         self, script: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
-        self.loop = SimLoop(seed)  # type: ignore[abstract]  # the balancers use none of the methods that it lacks
+        self.loop = SimLoop(seed)  # type: ignore[abstract]  # balancers use none of its missing methods
         network_settings = script.network
         self.simulated_network = Network(
             self.loop,
--- a/tests/rehearsal/test_live.py
+++ b/tests/rehearsal/test_live.py
@@ -1,20 +1,20 @@
-"""Live nights: real balancer processes on loopback. Only what no busy machine can change is held."""
+"""Live runs with real balancer processes on loopback; they assert only what machine load can't change."""
 
 from __future__ import annotations
 
 import pytest
 
 from passpost.rehearsal import model
-from passpost.rehearsal.live import UnplayableError, check, play
+from passpost.rehearsal.live import UnsupportedScenarioError, check, play
 from passpost.rehearsal.model import Class, Clients
 from passpost.rehearsal.summary import summarize
 from tests.rehearsal.nights import script
 
-# Times that no busy machine misses: what is tested is that the parts work together.
-PATIENT = Class(name="frame", work_ms=5, aim_ms=20_000, deadline_ms=40_000)
+# Times that even a busy machine meets: the tests check that the parts work together, not how fast they are.
+LENIENT_CLASS = Class(name="frame", work_ms=5, aim_ms=20_000, deadline_ms=40_000)
 
 
-def test_a_short_night_with_real_processes() -> None:
+def test_short_scenario_with_real_processes_has_no_faults() -> None:
     night = play(
         script(
             model.Drain(at_s=0.3, for_s=0.6, nodes=("render-plain-1",), back_s=0.2),
@@ -23,7 +23,7 @@
             model.Kill(at_s=1.0, balancer="b2", back_s=0.1),
             tiers=2,
             length_s=2.0,
-            classes=(PATIENT,),
+            classes=(LENIENT_CLASS,),
             clients=Clients(rate_per_s=30),
         ),
         1,
@@ -34,9 +34,9 @@
     assert [text for _, text in night.log if "b2" in text] == ["b2 killed", "b2 starts again"]
 
 
-def test_attempts_are_written_down_as_nodes_see_them() -> None:
+def test_sink_gets_each_attempt_that_a_node_receives() -> None:
     lines: list[str] = []
-    night = play(script(length_s=0.5, classes=(PATIENT,)), 1, lines.append)
+    night = play(script(length_s=0.5, classes=(LENIENT_CLASS,)), 1, lines.append)
     assert len(lines) == night.attempts and all(line.split()[3] == "send" for line in lines)
 
 
@@ -49,6 +49,6 @@
         (model.Pause(at_s=1, for_s=1, nodes=("clients",)), "only nodes and balancers can be paused"),
     ],
 )
-def test_what_can_not_be_played_live_is_refused(event: model.Event, reason: str) -> None:
-    with pytest.raises(UnplayableError, match=reason):
+def test_unsupported_scenario_is_rejected_with_the_reason(event: model.Event, reason: str) -> None:
+    with pytest.raises(UnsupportedScenarioError, match=reason):
         check(script(event))
--- a/tests/rehearsal/test_network.py
+++ b/tests/rehearsal/test_network.py
@@ -50,7 +50,7 @@
 
 
 def run_connected(test: ConnectionTest, seed: int = 1, split: float = 0.0, window: int = 1000) -> None:
-    """Run a test on an established connection; it gets the network, the client's side and the server's side."""
+    """Run a test with the network and the protocols of the client and the server of a connection."""
     loop = SimLoop(seed)  # type: ignore[abstract]
     network = Network(loop, seed, 0.001, 0.0005, split, window)
 
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -74,4 +74,4 @@
     )
     (tmp_path / "b1.log").write_text(text)
     (tmp_path / "b2.log").write_text("INFO fine\n")
-    assert live.errors_logged(tmp_path) == ["b1: ValueError: no"]
+    assert live.logged_exceptions(tmp_path) == ["b1: ValueError: no"]
