--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -45,33 +45,33 @@
     """The scenario needs something that the live backend does not support."""
 
 
-def check(script: Script) -> None:
+def check(scenario: Script) -> None:
     """Raises UnsupportedScenarioError, naming the event, if a scenario can't run on the live backend."""
-    nodes = set(script.node_names())
-    if len(script.balancer_names()) > MAX_BALANCERS:
+    nodes = set(scenario.node_names())
+    if len(scenario.balancer_names()) > MAX_BALANCERS:
         raise UnsupportedScenarioError(
             f"tiers: over {MAX_BALANCERS} balancers, too many processes to play live"
         )
-    for i, event in enumerate(script.events):
+    for i, event in enumerate(scenario.events):
         if isinstance(event, model.Clock):
             raise UnsupportedScenarioError(
                 f"events[{i}].kind: 'clock' can't be played live: setting a clock needs privileges"
             )
         if isinstance(event, model.Partition):
-            sides = [_matching_names(side, script) for side in (event.a, event.b)]
+            sides = [_matching_names(side, scenario) for side in (event.a, event.b)]
             if not any(side <= nodes for side in sides):
                 raise UnsupportedScenarioError(
                     f"events[{i}].a: live, one side of a partition must be nodes only"
                 )
-        if isinstance(event, model.Delay) and not _matching_names(event.nodes, script) <= nodes:
+        if isinstance(event, model.Delay) and not _matching_names(event.nodes, scenario) <= nodes:
             raise UnsupportedScenarioError(f"events[{i}].nodes: live, only nodes can be delayed")
         not_pausable = {"clients", "discovery"}
-        if isinstance(event, model.Pause) and _matching_names(event.nodes, script) & not_pausable:
+        if isinstance(event, model.Pause) and _matching_names(event.nodes, scenario) & not_pausable:
             raise UnsupportedScenarioError(f"events[{i}].nodes: live, only nodes and balancers can be paused")
 
 
-def _matching_names(patterns: tuple[str, ...], script: Script) -> set[str]:
-    names = [*script.node_names(), *script.balancer_names(), "clients", "discovery"]
+def _matching_names(patterns: tuple[str, ...], scenario: Script) -> set[str]:
+    names = [*scenario.node_names(), *scenario.balancer_names(), "clients", "discovery"]
     return {n for n in names if any(fnmatchcase(n, p) for p in patterns)}
 
 
@@ -222,7 +222,7 @@
 
 
 def play(
-    script: Script,
+    scenario: Script,
     seed: int,
     sink: Callable[[str], None] | None = None,
     progress: Callable[[float], None] = lambda share: None,
@@ -234,13 +234,13 @@
     `sink` gets a line for each attempt that a node receives and for each refusal that a client receives.
     `workers` is the number of worker processes of a sidecar. `ready_within`: see World.
     """
-    check(script)
+    check(scenario)
     started_at = time.perf_counter()
     with tempfile.TemporaryDirectory(prefix="passpost-") as folder:
 
-        async def night() -> Night:
+        async def run_world() -> Night:
             backend = LiveBackend(Path(folder), workers)
-            world = World(backend, script, seed, progress, ready_within=ready_within)
+            world = World(backend, scenario, seed, progress, ready_within=ready_within)
             world.watch.sink = sink
             try:
                 return await world.play()
@@ -248,7 +248,7 @@
                 for running in backend.running.values():
                     running.kill()
 
-        result = uvloop.run(night())
+        result = uvloop.run(run_world())
         result.faults += logged_exceptions(Path(folder))
     result.wall_s = time.perf_counter() - started_at
     return result
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -113,10 +113,10 @@
     simulated = True
 
     def __init__(
-        self, script: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
+        self, scenario: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
         self.loop = SimLoop(seed)  # type: ignore[abstract]  # balancers use none of its missing methods
-        network_settings = script.network
+        network_settings = scenario.network
         self.simulated_network = Network(
             self.loop,
             seed,
@@ -225,7 +225,7 @@
 
 
 def play(
-    script: Script,
+    scenario: Script,
     seed: int,
     sink: Sink | None = None,
     progress: Callable[[float], None] = lambda share: None,
@@ -234,22 +234,22 @@
 ) -> Night:
     """Run a scenario in simulated time. `file` replaces the operator's file that the scenario names."""
     started_at = time.perf_counter()
-    backend = VirtualBackend(script, seed, sink, module)
-    world = World(backend, script, seed, progress, file)
+    backend = VirtualBackend(scenario, seed, sink, module)
+    world = World(backend, scenario, seed, progress, file)
     log, handler = logging.getLogger("passpost"), _FaultCollector(backend)
     propagated = log.propagate
     log.addHandler(handler)
     log.propagate = False
     try:
-        night = backend.loop.run(world.play())
+        result = backend.loop.run(world.play())
     except StalledError as error:
-        night = world.night
-        night.faults.append(str(error))
-        night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
-        night.ended = backend.now()
+        result = world.night
+        result.faults.append(str(error))
+        result.jobs, result.breaks = world.clients.jobs, world.watch.breaks
+        result.ended = backend.now()
     finally:
         log.removeHandler(handler)
         log.propagate = propagated
-    night.faults += backend.faults + backend.loop.faults
-    night.wall_s = time.perf_counter() - started_at
-    return night
+    result.faults += backend.faults + backend.loop.faults
+    result.wall_s = time.perf_counter() - started_at
+    return result
--- a/tests/rehearsal/test_live.py
+++ b/tests/rehearsal/test_live.py
@@ -15,7 +15,7 @@
 
 
 def test_short_scenario_with_real_processes_has_no_faults() -> None:
-    night = play(
+    result = play(
         script(
             model.Drain(at_s=0.3, for_s=0.6, nodes=("render-plain-1",), back_s=0.2),
             model.Crash(at_s=0.8, for_s=0.3, nodes=("render-plain-2",)),
@@ -28,16 +28,16 @@
         ),
         1,
     )
-    assert night.faults == []
-    figures = summarize(night)
+    assert result.faults == []
+    figures = summarize(result)
     assert figures.whole.requests > 10 and figures.whole.served > 0
-    assert [text for _, text in night.log if "b2" in text] == ["b2 killed", "b2 starts again"]
+    assert [text for _, text in result.log if "b2" in text] == ["b2 killed", "b2 starts again"]
 
 
 def test_sink_gets_each_attempt_that_a_node_receives() -> None:
     lines: list[str] = []
-    night = play(script(length_s=0.5, classes=(LENIENT_CLASS,)), 1, lines.append)
-    assert len(lines) == night.attempts and all(line.split()[3] == "send" for line in lines)
+    result = play(script(length_s=0.5, classes=(LENIENT_CLASS,)), 1, lines.append)
+    assert len(lines) == result.attempts and all(line.split()[3] == "send" for line in lines)
 
 
 @pytest.mark.parametrize(
