--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -198,9 +198,7 @@
             return self._speech.write(cls, txn, max(due - now, 0.001), tenant, job.key, topic)
 
         def done(result: Result) -> None:
-            if (
-                result.end_reason == "crossed" and not fresh
-            ):  # the same request once more, on a new connection
+            if result.end_reason == "crossed" and not fresh:  # send it once more, on a new connection
                 self._watch.note(self._backend.now(), txn, "crossed a close; sent once more")
                 self._send(job, process, balancer, txn, due, unreached, fresh=True)
                 return
--- a/passpost/rehearsal/http.py
+++ b/passpost/rehearsal/http.py
@@ -16,9 +16,8 @@
 from passpost.rehearsal.stage import Backend, ConnectionEnd
 
 MAX_PAUSE_S = 0.05  # between the two pieces of a request
-LATE_ANSWER_GRACE_S = (
-    0.15  # how long a client waits beyond its deadline, so that the invariant checker sees late answers
-)
+# How long a client waits beyond its deadline, so that the invariant checker sees late answers.
+LATE_ANSWER_GRACE_S = 0.15
 
 
 @dataclass(slots=True)
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -82,20 +82,17 @@
         self._on_exit, self._backend, self._name = on_exit, backend, name
         if isinstance(config, File):
             self._path = backend.folder / f"{name}.toml"
-            command, extra_environment = (
-                ["passpost.cli", "run", str(self._path)],
-                dict(carried.environment(config)),
-            )
+            command, variables = ["passpost.cli", "run", str(self._path)], dict(carried.environment(config))
             if backend.workers > 1:
                 command += ["--workers", str(backend.workers)]
         else:
             self._path = backend.folder / f"{name}.json"
-            command, extra_environment = ["passpost"], {"EDGE_CONFIG": str(self._path)}
+            command, variables = ["passpost"], {"EDGE_CONFIG": str(self._path)}
         self._write(config)
         with open(backend.folder / f"{name}.log", "ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", *command],
-                env=os.environ | extra_environment,
+                env=os.environ | variables,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -519,7 +519,7 @@
         host, port = address
         while port == 0 or (host, port) in self.listeners:
             if port:
-                raise OSError(f"{host}:{port} is already in use")
+                raise OSError(f"{host}:{port} is taken")
             self._last_port += 1
             if (host, self._last_port) not in self.listeners:
                 port = self._last_port
