--- a/passpost/rehearsal/network.py
+++ b/passpost/rehearsal/network.py
@@ -175,9 +175,8 @@
         self._network, self._address, self._backlog = network, address, backlog
         self.process = network.loop.current
         self._accept_queue: deque[_Endpoint] = deque()
-        self._blocked_attempts: deque[Callable[[], None]] = (
-            deque()
-        )  # connection attempts that wait for room in the accept queue
+        # Connection attempts that wait for room in the accept queue.
+        self._blocked_attempts: deque[Callable[[], None]] = deque()
         self._callback: Callable[[], object] | None = None
         self._callback_scheduled = False
         self.open = True
--- a/passpost/rehearsal/speech.py
+++ b/passpost/rehearsal/speech.py
@@ -14,9 +14,8 @@
 from passpost.rehearsal.http import Request, write_request
 from passpost.rehearsal.model import Class
 
-DEADLINE_TOLERANCE_S = (
-    0.001  # a deadline header is sent only if the time left is below the class's deadline by more than this
-)
+# A plain client sends a deadline header only if the time left is below its class's deadline by more than this.
+DEADLINE_TOLERANCE_S = 0.001
 
 
 @dataclass(frozen=True, slots=True)
--- a/passpost/rehearsal/stage.py
+++ b/passpost/rehearsal/stage.py
@@ -61,9 +61,8 @@
 class Backend(ABC):
     """An environment in which scenarios run. Times are seconds since the backend was created."""
 
-    simulated: (
-        bool  # time, network and processes are simulated; then the write time of received bytes is known
-    )
+    # Whether time, network and processes are simulated; then the write time of received bytes is known.
+    simulated: bool
     host: Host
 
     @abstractmethod
@@ -75,10 +74,8 @@
         """Call a function on a machine, which then owns the timers and connections that the call creates."""
 
     @abstractmethod
-    def launch(
-        self, bound_address: str, config: Config, on_exit: Callable[[int | None], None]
-    ) -> BalancerHandle:
-        """Start a balancer on a machine of the given name."""
+    def launch(self, name: str, config: Config, on_exit: Callable[[int | None], None]) -> BalancerHandle:
+        """Start a balancer on a machine of the given name; `on_exit` gets its exit status."""
 
     @abstractmethod
     def free_address(self) -> Address:
