--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -21,7 +21,7 @@
 from passpost.operator.settings import AIM_PART
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal.model import Class, Contract, Script
-from passpost.rehearsal.speech import PlainSpeech, sample
+from passpost.rehearsal.speech import PlainRequestFormat, example_request
 from umberworks.rules import Balancer
 
 CLASS_FIELDS_FROM_FILE = ("aim_ms", "deadline_ms", "effect", "window_ms", "worth", "late_share")
@@ -77,7 +77,7 @@
         if file_class is None:
             raise MismatchError(f"{key}.name", f"{application.name} has no class {cls.name!r}")
         _reject_if_set(cls, CLASS_FIELDS_FROM_FILE, key)
-        method, path = sample(file_class)
+        method, path = example_request(file_class)
         if method == "HEAD":
             raise MismatchError(
                 key, "it takes HEAD only, and a response to HEAD has no body that could be checked"
@@ -152,9 +152,9 @@
     return {v.removeprefix("env:"): ENVIRONMENT_VALUE for v in values if v.startswith("env:")}
 
 
-def speech(scenario: Script, file: File) -> PlainSpeech:
+def speech(scenario: Script, file: File) -> PlainRequestFormat:
     """Return the request format of the clients and of the first tier."""
-    return PlainSpeech(application_of(scenario, file), file.health.path)
+    return PlainRequestFormat(application_of(scenario, file), file.health.path)
 
 
 def start_sidecar(file: File, seed: str, host: Host = HOST, module: type[Balancer] = Balancer) -> Sidecar:
--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -8,11 +8,11 @@
 from dataclasses import dataclass, field
 
 from passpost.host import Address
-from passpost.rehearsal.http import GRACE_S, Pool, Result
+from passpost.rehearsal.http import LATE_ANSWER_GRACE_S, ConnectionPool, Result
 from passpost.rehearsal.model import Class, Script, Tenant
 from passpost.rehearsal.nodes import report_result
-from passpost.rehearsal.speech import Speech
-from passpost.rehearsal.stage import Stage
+from passpost.rehearsal.speech import RequestFormat
+from passpost.rehearsal.stage import Backend
 from passpost.rehearsal.watch import Watch
 
 READY_POLL_S = 0.2  # interval of readiness probes to a balancer that is starting
@@ -38,12 +38,12 @@
 class ConnectionDistributor:
     """Distributes new connections round robin among the balancers it considers alive and ready."""
 
-    def __init__(self, stage: Stage, death_notice_s: float, ready_path: str) -> None:
-        self._stage, self._death_notice_s, self._ready_path = stage, death_notice_s, ready_path
+    def __init__(self, backend: Backend, death_notice_s: float, ready_path: str) -> None:
+        self._backend, self._death_notice_s, self._ready_path = backend, death_notice_s, ready_path
         self.addresses: dict[str, Address] = {}
         self._in_rotation: dict[str, None] = {}
         self._next_index = 0
-        self._pool = Pool(stage)
+        self._pool = ConnectionPool(backend)
         self._generations: dict[str, int] = {}
         self.on_ready: Callable[[], None] = lambda: None
 
@@ -101,18 +101,25 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         checker: Watch,
         scenario: Script,
         seed: int,
         excuse_for: Callable[[str, float], str],
-        speech: Speech,
+        speech: RequestFormat,
     ) -> None:
-        self._stage, self._checker, self._scenario, self._excuse_for = stage, checker, scenario, excuse_for
+        self._backend, self._checker, self._scenario, self._excuse_for = (
+            backend,
+            checker,
+            scenario,
+            excuse_for,
+        )
         self._speech = speech
-        self.front = ConnectionDistributor(stage, scenario.clients.notice_s, speech.ready)
+        self.front = ConnectionDistributor(backend, scenario.clients.notice_s, speech.ready_path)
         pieces = scenario.clients.pieces
-        self._pools = [Pool(stage, pieces, f"{seed} {i}") for i in range(scenario.clients.processes)]
+        self._pools = [
+            ConnectionPool(backend, pieces, f"{seed} {i}") for i in range(scenario.clients.processes)
+        ]
         self._random = random.Random(f"clients {seed}")
         # Arrivals have their own generators, so that failures do not change which requests are sent.
         self._arrivals = [random.Random(f"arrivals {seed} {i}") for i in range(len(self._pools))]
@@ -128,13 +135,13 @@
 
     def start(self, duration_s: float) -> None:
         """Send requests for `duration_s` seconds from now on."""
-        self._stop_at = self._stage.now() + duration_s
+        self._stop_at = self._backend.now() + duration_s
         for number in range(len(self._pools)):
             self._schedule_arrival(number)
 
     def is_finished(self) -> bool:
         """Whether the sending period is over and every request has ended."""
-        return self._stage.now() >= self._stop_at and not self.open_count
+        return self._backend.now() >= self._stop_at and not self.open_count
 
     def _schedule_arrival(self, process: int) -> None:
         rate_per_s = self._scenario.clients.rate_per_s * self._max_rate_factor() / len(self._pools)
@@ -148,7 +155,7 @@
         return factor
 
     def _handle_arrival(self, process: int) -> None:
-        now = self._stage.now()
+        now = self._backend.now()
         if now >= self._stop_at:
             return
         self._schedule_arrival(process)
@@ -171,13 +178,13 @@
 
     def _start_attempt(self, request: ClientRequest, process: int, unreached_count: int = 0) -> None:
         """Send the first attempt or a retry on an idle connection or a new one."""
-        now, cls = self._stage.now(), request.cls
+        now, cls = self._backend.now(), request.cls
         remaining_s = request.started_at + cls.deadline_ms / 1000 - now
         if remaining_s <= 0:
             self._complete(request, "failed", "out of time")
             return
         pool = self._pools[process]
-        balancer = (pool.idle_balancer() if not unreached_count else None) or self.front.pick_balancer()
+        balancer = (pool.last_idle_balancer() if not unreached_count else None) or self.front.pick_balancer()
         if balancer is None:
             self._retry_later(request, process, UNREACHED_RETRY_S, "no balancer", unreached_count + 1)
             return
@@ -199,30 +206,30 @@
     ) -> None:
         pool, sent_at, cls, clients = (
             self._pools[process],
-            self._stage.now(),
+            self._backend.now(),
             request.cls,
             self._scenario.clients,
         )
 
         def request_bytes() -> bytes:
-            now = self._stage.now()
+            now = self._backend.now()
             self._checker.asked(now, txn, cls, balancer, deadline_at)
             tenant = request.tenant if self._scenario.tenants else ""
             topic = f"m{request.number % 997}"
             return self._speech.write(cls, txn, max(deadline_at - now, 0.001), tenant, request.key, topic)
 
         def handle(result: Result) -> None:
-            if result.how == "crossed" and not new_connection:  # sent again on a new connection
-                self._checker.note(self._stage.now(), txn, "crossed a close; sent once more")
+            if result.end_reason == "crossed" and not new_connection:  # sent again on a new connection
+                self._checker.note(self._backend.now(), txn, "crossed a close; sent once more")
                 self._send(request, process, balancer, txn, deadline_at, unreached_count, new_connection=True)
                 return
-            if result.how == "left":
-                self._checker.left(self._stage.now(), txn)
+            if result.end_reason == "left":
+                self._checker.left(self._backend.now(), txn)
             else:
-                report_result(self._stage, self._checker, txn, result, self._excuse_for(balancer, sent_at))
+                report_result(self._backend, self._checker, txn, result, self._excuse_for(balancer, sent_at))
             self._handle_result(request, process, result, unreached_count)
 
-        wait_s = max(deadline_at - sent_at, 0.0) + GRACE_S
+        wait_s = max(deadline_at - sent_at, 0.0) + LATE_ANSWER_GRACE_S
         call = pool.call(
             balancer,
             self.front.addresses[balancer],
@@ -233,16 +240,16 @@
         )
         if clients.impatient and self._impatience_random.random() < clients.impatient:
             hang_up_after_s = self._impatience_random.uniform(0.0, max(deadline_at - sent_at, 0.0))
-            asyncio.get_running_loop().call_later(hang_up_after_s, call.end, Result("left"))
+            asyncio.get_running_loop().call_later(hang_up_after_s, call.finish, Result("left"))
 
     def _handle_result(
         self, request: ClientRequest, process: int, result: Result, unreached_count: int
     ) -> None:
         clients, effect = self._scenario.clients, request.cls.effect
-        if result.how == "left":
+        if result.end_reason == "left":
             self._complete(request, "failed", "left")
             return
-        if result.how == "unreached":
+        if result.end_reason == "unreached":
             self._retry_later(request, process, UNREACHED_RETRY_S, "unreached", unreached_count + 1)
             return
         status = result.answer.status if result.answer is not None else 0
@@ -250,8 +257,8 @@
             self._complete(request, "served", "")
             return
         refused = status in (429, 503)
-        reason = "refused" if refused else f"failed {status}" if status else result.how
-        age_s = self._stage.now() - request.started_at
+        reason = "refused" if refused else f"failed {status}" if status else result.end_reason
+        age_s = self._backend.now() - request.started_at
         may_retry = (
             refused or effect == "safe" or (effect == "keyed" and age_s < request.cls.window_ms / 1000)
         )
@@ -267,13 +274,13 @@
         self, request: ClientRequest, process: int, wait_s: float, reason: str, unreached_count: int
     ) -> None:
         request.reasons.append(reason)
-        if self._stage.now() + wait_s - request.started_at >= request.cls.deadline_ms / 1000:
+        if self._backend.now() + wait_s - request.started_at >= request.cls.deadline_ms / 1000:
             self._complete(request, "refused" if reason == "refused" else "failed", reason)
             return
         asyncio.get_running_loop().call_later(wait_s, self._start_attempt, request, process, unreached_count)
 
     def _complete(self, request: ClientRequest, outcome: str, reason: str) -> None:
-        request.outcome, request.ended_at = outcome, self._stage.now()
+        request.outcome, request.ended_at = outcome, self._backend.now()
         if reason:
             request.reasons.append(reason)
         self.open_count -= 1
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 
 from passpost.host import Address
-from passpost.rehearsal.http import Pool, Request, RequestConnection, Result, write_request
+from passpost.rehearsal.http import ConnectionPool, Request, RequestConnection, Result, write_request
 from passpost.rehearsal.machine import Job, Machine
 from passpost.rehearsal.model import Class, Contract, Kind, Tier
-from passpost.rehearsal.speech import Asked, Speech
-from passpost.rehearsal.stage import Stage, listen
+from passpost.rehearsal.speech import ParsedRequest, RequestFormat
+from passpost.rehearsal.stage import Backend, listen
 from passpost.rehearsal.watch import Watch
 
 REPEAT_WORK_SHARE = 0.1  # share of its work that a deduplicated repeat costs
@@ -45,7 +45,7 @@
 class _PendingRequest:
     """A request inside the node, from its last byte to its response."""
 
-    def __init__(self, connection: _Connection, asked: Asked, cls: Class, number: int) -> None:
+    def __init__(self, connection: _Connection, asked: ParsedRequest, cls: Class, number: int) -> None:
         self.connection: _Connection | None = connection
         self.asked, self.cls, self.number = asked, cls, number
         self.txn = asked.txn
@@ -57,7 +57,7 @@
 
 class _Connection(RequestConnection):
     def __init__(self, node: Node, balancer: str) -> None:
-        super().__init__(node.stage)
+        super().__init__(node.backend)
         self.node, self.balancer = node, balancer
         self.pending: _PendingRequest | None = None
         self.over_limit = len(node.connections) >= node.kind.connections
@@ -76,7 +76,7 @@
         if self.transport is not None:
             super().data_received(data)
 
-    def request_came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self.node.handle_request(self, request)
@@ -96,7 +96,7 @@
         if self.transport is not None and self.pending is None:
             self.transport.close()
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self.node.connections.pop(self, None)
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         checker: Watch,
         name: str,
         tier: Tier,
@@ -119,18 +119,18 @@
         idempotency_keys: IdempotencyKeys,
         seed: int,
         cold: bool,
-        speech: Speech,
+        speech: RequestFormat,
     ) -> None:
         self._speech = speech
-        self.stage, self.checker, self.name, self.tier, self.kind = stage, checker, name, tier, kind
+        self.backend, self.checker, self.name, self.tier, self.kind = backend, checker, name, tier, kind
         self._contract, self._classes, self._idempotency_keys, self._seed = (
             contract,
             classes,
             idempotency_keys,
             seed,
         )
-        self.started_at = stage.now() if cold else -math.inf
-        self.machine = Machine(kind, contract, stage.now(), cold)
+        self.started_at = backend.now() if cold else -math.inf
+        self.machine = Machine(kind, contract, backend.now(), cold)
         self.connections: dict[_Connection, None] = {}
         self._random = random.Random(f"node {seed} {name} {self.started_at}")
         self._length_random = random.Random(f"lengths {seed} {name} {self.started_at}")
@@ -143,7 +143,7 @@
         self.malformed_shares: list[float] = []
         # The node's own balancer for the next tier, with its address; None in the last tier.
         self.next_tier: tuple[str, Address] | None = None
-        self._pool = Pool(stage)
+        self._pool = ConnectionPool(backend)
         self._call_count = 0
         self.pause_count, self.delay_s = 0, 0.0  # live runs only: active pauses and partitions; added delay
         self._deferred: deque[Callable[[], None]] = deque()
@@ -158,7 +158,9 @@
 
     def listen(self, balancer: str, address: Address) -> Address:
         """Open a listener for one balancer, which identifies the sender; return its address."""
-        bound_address, close_listener = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        bound_address, close_listener = listen(
+            self.backend.host, address, lambda: _Connection(self, balancer)
+        )
         self._listener_closers.append(close_listener)
         return bound_address
 
@@ -218,7 +220,7 @@
 
     def handle_request(self, connection: _Connection, request: Request) -> None:
         """Handle a completely read request."""
-        now = self.stage.now()
+        now = self.backend.now()
         asked = self._speech.read(request)
         cls = self._classes.get(asked.cls) if asked is not None else None
         if request.path in ("/health/live", "/stats"):
@@ -233,7 +235,7 @@
         pending = _PendingRequest(connection, asked, cls, self._request_count)
         connection.pending = pending
         pending.attempt = self.checker.attempt(
-            request.begun, request.written, now, txn, self.name, connection.balancer
+            request.first_byte_sent_at, request.last_byte_sent_at, now, txn, self.name, connection.balancer
         )
         pending.deadline_at = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
         if connection.over_limit:
@@ -266,7 +268,7 @@
         return random.Random(f"work {self._seed} {txn}").gammavariate(shape, cls.work_ms / shape)
 
     def _reject(self, pending: _PendingRequest) -> None:
-        self.checker.turned_away(self.stage.now(), pending.txn, self.name, pending.attempt)
+        self.checker.turned_away(self.backend.now(), pending.txn, self.name, pending.attempt)
         if pending.connection is not None:
             pending.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
 
@@ -274,13 +276,13 @@
         """Advance the machine model to now and continue with the requests whose work is done."""
         if self.dead:
             return
-        for number in self.machine.advance(self.stage.now()):
+        for number in self.machine.advance(self.backend.now()):
             self._finish_phase(self._pending_by_number[number])
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if (at := self.machine.next_event_at()) is not None:
-            delay = max(at - self.stage.now(), 0.0)
+            delay = max(at - self.backend.now(), 0.0)
             self._timer = asyncio.get_running_loop().call_later(delay, self._advance)
 
     def _finish_phase(self, pending: _PendingRequest) -> None:
@@ -297,7 +299,7 @@
         """Send the next call to the next tier with the remaining time."""
         assert self.next_tier is not None
         pending.calls_remaining -= 1
-        now = self.stage.now()
+        now = self.backend.now()
         remaining = pending.deadline_at - now
         if remaining <= 0:
             self._fail(pending)
@@ -308,8 +310,10 @@
         key, tenant = pending.asked.key, pending.asked.tenant
 
         def data() -> bytes:
-            remaining_s = max(pending.deadline_at - self.stage.now(), 0.0)
-            self.checker.asked(self.stage.now(), txn, pending.cls, balancer, pending.deadline_at, pending.txn)
+            remaining_s = max(pending.deadline_at - self.backend.now(), 0.0)
+            self.checker.asked(
+                self.backend.now(), txn, pending.cls, balancer, pending.deadline_at, pending.txn
+            )
             return write_request(
                 pending.cls.name,
                 pending.cls.effect,
@@ -320,11 +324,11 @@
             )
 
         def done(result: Result) -> None:
-            report_result(self.stage, self.checker, txn, result, self.excuse_for(balancer, now))
+            report_result(self.backend, self.checker, txn, result, self.excuse_for(balancer, now))
             if self.dead:
                 return
             self._advance()
-            if result.how == "answer" and result.answer is not None and result.answer.status == 200:
+            if result.end_reason == "answer" and result.answer is not None and result.answer.status == 200:
                 self._finish_phase(pending)
             else:
                 self._fail(pending)
@@ -352,7 +356,7 @@
             connection.write(self._random.choice(MALFORMED_RESPONSES))
         else:
             body = f"{pending.txn} by {self.name}".encode()
-            self.checker.answered(self.stage.now(), pending.txn, self.name, body)
+            self.checker.answered(self.backend.now(), pending.txn, self.name, body)
             connection.answer(200, body)
 
     def _release_slot(self, pending: _PendingRequest) -> None:
@@ -361,7 +365,7 @@
         next_job = self.machine.release_slot()
         while next_job is not None:
             next_pending = self._pending_by_number[next_job.number]
-            if next_pending.deadline_at > self.stage.now():
+            if next_pending.deadline_at > self.backend.now():
                 self.machine.resume(next_job)
                 return
             self._pending_by_number.pop(next_job.number, None)
@@ -369,10 +373,10 @@
             next_job = self.machine.release_slot()
 
 
-def report_result(stage: Stage, checker: Watch, txn: str, result: Result, excuse: str) -> None:
+def report_result(backend: Backend, checker: Watch, txn: str, result: Result, excuse: str) -> None:
     """Report the result of a call to the checker."""
-    now = stage.now()
-    if result.how == "answer" and result.answer is not None:
+    now = backend.now()
+    if result.end_reason == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
             checker.served(now, txn, result.answer.body)
@@ -380,17 +384,17 @@
             checker.refused(now, txn)
         else:
             checker.failed(now, txn, status)
-    elif result.how == "crossed":
+    elif result.end_reason == "crossed":
         checker.excused(now, txn, "crossed the close of its connection")
-    elif result.how == "unreached":
+    elif result.end_reason == "unreached":
         return  # the request was never sent
     elif excuse:
-        checker.excused(now, txn, f"{result.how}: {excuse}")
+        checker.excused(now, txn, f"{result.end_reason}: {excuse}")
     else:
         checker.lost(
             now,
             txn,
             {"silent": "no answer in time", "ended": "closed with no whole answer"}.get(
-                result.how, "what came was no answer"
+                result.end_reason, "what came was no answer"
             ),
         )
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -19,7 +19,7 @@
 from passpost.host import Address
 from passpost.rehearsal.http import Request, RequestConnection
 from passpost.rehearsal.model import Discovery
-from passpost.rehearsal.stage import Stage, listen
+from passpost.rehearsal.stage import Backend, listen
 from passpost.rehearsal.watch import Watch
 
 MAX_QUEUE_WAIT_S = 2.0  # a call that would wait longer for its turn is rejected with 503
@@ -48,17 +48,17 @@
 
 class _Connection(RequestConnection):
     def __init__(self, registry: Registry, balancer: str) -> None:
-        super().__init__(registry.stage)
+        super().__init__(registry.backend)
         self.registry, self.balancer = registry, balancer
         registry.connections[self] = None
         self.watch_timer: asyncio.TimerHandle | None = None
         self.after = 0
         self.watch_answered_at = -math.inf  # when a watch on this connection was last answered
 
-    def request_came(self, request: Request) -> None:
+    def request_received(self, request: Request) -> None:
         self.registry.handle_call(self, request)
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         self.registry.connections.pop(self, None)
         if self in self.registry.watchers:
             del self.registry.watchers[self]
@@ -72,7 +72,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         checker: Watch,
         settings: Discovery,
         ask_within_s: float,
@@ -80,7 +80,12 @@
         address_of: Callable[[str, str], Address],
         tier_of: Callable[[str], str],
     ) -> None:
-        self.stage, self._checker, self._settings, self._ask_within_s = stage, checker, settings, ask_within_s
+        self.backend, self._checker, self._settings, self._ask_within_s = (
+            backend,
+            checker,
+            settings,
+            ask_within_s,
+        )
         self._address_of, self._tier_of = address_of, tier_of
         self._random = random.Random(f"list {seed}")
         self.entries: dict[str, RegistryEntry] = {}
@@ -109,7 +114,7 @@
         low, high = self._settings.notice_s
         delay = self._random.uniform(low, high)
         loop = asyncio.get_running_loop()
-        self.stage.run_as("discovery", lambda: loop.call_later(delay, self._apply_change, entry))
+        self.backend.run_as("discovery", lambda: loop.call_later(delay, self._apply_change, entry))
 
     def _apply_change(self, entry: RegistryEntry) -> None:
         current = self.entries.get(entry.node)
@@ -129,7 +134,7 @@
                     )
         for connection in self.connections:
             if (
-                connection.watch_answered_at >= self.stage.now() - WATCH_CONTINUES_S
+                connection.watch_answered_at >= self.backend.now() - WATCH_CONTINUES_S
                 and connection not in self.watchers
             ):
                 self._notify(connection.balancer, entry)  # a change between two calls of one watch
@@ -156,7 +161,7 @@
         if any(c.balancer == balancer for c in self.watchers):
             return
         now, (not_polling_since, factor) = (
-            self.stage.now(),
+            self.backend.now(),
             self._not_polling_since.get(balancer, (running_since, 1)),
         )
         due_at = not_polling_since + factor * self._ask_within_s
@@ -174,13 +179,15 @@
 
     def mark_not_polling(self, balancer: str, failed: bool = False) -> None:
         """Record that a balancer neither watches nor polls from now on; `failed`: because its call failed."""
-        self._not_polling_since[balancer] = (self.stage.now(), FAILED_CALL_FACTOR if failed else 1)
+        self._not_polling_since[balancer] = (self.backend.now(), FAILED_CALL_FACTOR if failed else 1)
 
     # ---- calls of balancers
 
     def listen_for(self, balancer: str, address: Address = ("127.0.0.1", 0)) -> Address:
         """Open an address of the registry for one balancer; a further call moves the registry to a new address."""
-        bound_address, close_listener = listen(self.stage.host, address, lambda: _Connection(self, balancer))
+        bound_address, close_listener = listen(
+            self.backend.host, address, lambda: _Connection(self, balancer)
+        )
         if (close_old := self._listener_closers.pop(balancer, None)) is not None:
             close_old()
             for connection in [c for c in self.connections if c.balancer == balancer]:
@@ -196,7 +203,7 @@
 
     def balancer_started(self, balancer: str) -> dict[str, Any]:
         """Record the start of a balancer and return the current list, of which it counts as notified."""
-        self._running_since[balancer] = self.stage.now()
+        self._running_since[balancer] = self.backend.now()
         self.mark_not_polling(balancer)
         return self._listing(balancer, None)
 
@@ -207,7 +214,7 @@
     def set_unreachable(self, on: bool) -> None:
         """Begin or end an outage of the registry."""
         self.outage_count += 1 if on else -1
-        self._availability_changed_at = self.stage.now()
+        self._availability_changed_at = self.backend.now()
         if on and self._settings.mode == "ask":
             for connection in list(self.watchers):
                 self._fail_call(connection)
@@ -239,7 +246,7 @@
         if self.outage_count:
             self._fail_call(connection)
             return
-        now = self.stage.now()
+        now = self.backend.now()
         self.mark_not_polling(connection.balancer)
         if "wait_ms" in request.query and connection.watch_answered_at >= now - WATCH_CONTINUES_S:
             self._answer_call(connection, request)
@@ -283,7 +290,7 @@
         if has_changes or even_without_changes:
             del self.watchers[connection]
             self.mark_not_polling(connection.balancer)
-            connection.watch_answered_at = self.stage.now()
+            connection.watch_answered_at = self.backend.now()
             if connection.watch_timer is not None:
                 connection.watch_timer.cancel()
             self._send_listing(connection, connection.after)
@@ -298,10 +305,12 @@
             return
         if self._settings.mode == "push" and self.outage_count:
             return  # the balancer is notified when the agent is back
-        if entry.phase != "active" and not self.is_reachable(balancer, self.stage.now()):
+        if entry.phase != "active" and not self.is_reachable(balancer, self.backend.now()):
             asyncio.get_running_loop().call_later(UNREACHABLE_RECHECK_S, self._notify, balancer, entry)
             return
-        self._checker.told(self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started_at)
+        self._checker.told(
+            self.backend.now(), balancer, entry.node, entry.phase == "active", entry.started_at
+        )
 
     def _listing(self, balancer: str, after: int | None) -> dict[str, Any]:
         """Return the whole list or the changes after a revision as a discovery response, and notify the checker."""
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -1,4 +1,4 @@
-"""The simulated world of one run: a scenario's fleet, clients, registry and failures on a Stage."""
+"""The simulated world of one run: a scenario's fleet, clients, registry and failures on a backend."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from passpost.rehearsal.model import Kind, Script, Tier
 from passpost.rehearsal.nodes import IdempotencyKeys, Node
 from passpost.rehearsal.registry import Registry, RegistryEntry
-from passpost.rehearsal.speech import Speech
-from passpost.rehearsal.stage import Config, Running, Stage
+from passpost.rehearsal.speech import RequestFormat
+from passpost.rehearsal.stage import Backend, BalancerHandle, Config
 from passpost.rehearsal.watch import Break, Watch
 
 READY_TIMEOUT_S = 20.0  # a balancer that is not ready by then never will be; the run ends with a fault
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        stage: Stage,
+        backend: Backend,
         scenario: Script,
         seed: int,
         progress: Callable[[float], None],
@@ -88,12 +88,12 @@
         ready_within: float | None = None,
     ) -> None:
         """`ready_within`: seconds from its start to readiness allowed for a first-tier balancer; None: no check."""
-        speech = Speech()
+        speech = RequestFormat()
         if scenario.sidecar is not None:
             file = file or carried.read_operator_file(scenario.sidecar.file)
             scenario, speech = carried.merge_operator_file(scenario, file), carried.speech(scenario, file)
         self._operator_file, self._speech = file, speech
-        self.stage, self.scenario, self.seed, self._report_progress = stage, scenario, seed, progress
+        self.backend, self.scenario, self.seed, self._report_progress = backend, scenario, seed, progress
         self.checker = Watch(scenario.contract)
         self.run = Run(scenario, seed)
         self._random = random.Random(f"world {seed}")
@@ -102,7 +102,7 @@
         self._tier_index = {t.name: i for i, t in enumerate(scenario.tiers)}
         self._host_by_node: dict[str, _NodeHost] = {}  # by node name; the name of a replaced node stays
         self._hosts: list[_NodeHost] = []
-        self._balancers: dict[str, Running] = {}
+        self._balancers: dict[str, BalancerHandle] = {}
         self._addresses: dict[str, Address] = {}
         self._configs: dict[str, Config] = {}
         self._tier_of_balancer: dict[str, int] = {}
@@ -112,7 +112,7 @@
         self._launched_at: dict[str, float] = {}  # time of the last start of each balancer
         self._stop_sent_at: dict[str, float] = {}  # time of the last SIGTERM of each balancer
         self.registry = Registry(
-            stage,
+            backend,
             self.checker,
             scenario.discovery,
             scenario.contract.ask_within_ms / 1000,
@@ -121,13 +121,13 @@
             lambda balancer: scenario.tiers[self._tier_of_balancer[balancer]].name,
         )
         self.registry.is_reachable = lambda balancer, since: not self._excuse_for(balancer, since)
-        self.clients = Clients(stage, self.checker, scenario, seed, self._excuse_for, speech)
+        self.clients = Clients(backend, self.checker, scenario, seed, self._excuse_for, speech)
 
     # ---- building and running
 
     async def simulate(self) -> Run:
         """Run the whole scenario and return its result."""
-        stage, scenario = self.stage, self.scenario
+        backend, scenario = self.backend, self.scenario
         # Last tier first: a node's own balancer starts with the list of the tier that it calls.
         for tier in reversed(scenario.tiers):
             for kind in tier.kinds:
@@ -147,7 +147,7 @@
             self.clients.front.addresses[name] = self._addresses[name]
         first_tier_balancers = [f"b{i + 1}" for i in range(scenario.tiers[0].balancers)]
         for name in first_tier_balancers:
-            stage.run_as("clients", lambda name=name: self.clients.front.balancer_started(name))  # type: ignore[misc]
+            backend.run_as("clients", lambda name=name: self.clients.front.balancer_started(name))  # type: ignore[misc]
         waited_s = 0.0
         while not all(self.clients.front.is_ready(n) for n in first_tier_balancers):
             await asyncio.sleep(0.05)
@@ -155,18 +155,18 @@
             if waited_s > READY_TIMEOUT_S:
                 self.run.faults.append("the balancers did not get ready")
                 return self._finish()
-        started_at = self.run.started_at = stage.now()
-        stage.run_as("clients", lambda: self.clients.start(scenario.length_s))
+        started_at = self.run.started_at = backend.now()
+        backend.run_as("clients", lambda: self.clients.start(scenario.length_s))
         for event in scenario.events:
             self._call_at(started_at + event.at_s, lambda event=event: self._apply_event(event))  # type: ignore[misc]
         self._take_sample()
         longest_deadline_s = max(c.deadline_ms for c in scenario.classes) / 1000
         end_at = started_at + scenario.length_s
-        while stage.now() < end_at or (
-            not self.clients.is_finished() and stage.now() < end_at + longest_deadline_s + 1.0
+        while backend.now() < end_at or (
+            not self.clients.is_finished() and backend.now() < end_at + longest_deadline_s + 1.0
         ):
             await asyncio.sleep(0.25)
-            self._report_progress(min((stage.now() - started_at) / scenario.length_s, 1.0))
+            self._report_progress(min((backend.now() - started_at) / scenario.length_s, 1.0))
         if self._ready_within_s is not None:
             await self._wait_until_ready(first_tier_balancers, self._ready_within_s)
         if self.clients.open_count:
@@ -177,7 +177,7 @@
         """Wait for balancers that are still stopping or starting; one that takes too long to start is a fault."""
         waiting = first_tier_balancers
         while waiting := [name for name in waiting if not self.clients.front.is_ready(name)]:
-            now = self.stage.now()
+            now = self.backend.now()
             for name in waiting:
                 launched_at = self._launched_at[name]
                 if launched_at > self._stop_sent_at.get(name, -math.inf) and now > launched_at + within_s:
@@ -194,11 +194,11 @@
             self._balancers.pop(name, None)
         for node_host in self._hosts:
             if node_host.node is not None:
-                self.stage.run_as(node_host.name, node_host.node.close)
-        self.checker.ended(self.stage.now())
+                self.backend.run_as(node_host.name, node_host.node.close)
+        self.checker.ended(self.backend.now())
         run.requests, run.violations = self.clients.requests, self.checker.breaks
         run.left_waiting, run.sent_after = self.checker.left_waiting, self.checker.sent_after
-        run.attempts, run.ended_at = self.checker.attempts, self.stage.now()
+        run.attempts, run.ended_at = self.checker.attempts, self.backend.now()
         return run
 
     def _call_at(self, due_at: float, callback: Callable[[], None]) -> None:
@@ -206,22 +206,22 @@
             if not self._finished:
                 callback()
 
-        asyncio.get_running_loop().call_later(max(due_at - self.stage.now(), 0.0), run_callback)
+        asyncio.get_running_loop().call_later(max(due_at - self.backend.now(), 0.0), run_callback)
 
     def _call_after(self, seconds: float, callback: Callable[[], None]) -> None:
-        self._call_at(self.stage.now() + seconds, callback)
+        self._call_at(self.backend.now() + seconds, callback)
 
     def _log_event(self, text: str) -> None:
-        self.run.log.append((self.stage.now(), text))
+        self.run.log.append((self.backend.now(), text))
 
     def _start_node(self, node_host: _NodeHost, name: str, cold: bool) -> None:
         """Start a node process on a host, and its own balancer if there is a next tier."""
         node_host.name, node_host.start_count = name, node_host.start_count + 1
         self._host_by_node[name] = node_host
-        node = node_host.node = self.stage.run_as(
+        node = node_host.node = self.backend.run_as(
             name,
             lambda: Node(
-                self.stage,
+                self.backend,
                 self.checker,
                 name,
                 node_host.tier,
@@ -231,12 +231,12 @@
                 self._idempotency_keys,
                 self.seed,
                 cold,
-                self._speech if node_host.tier is self.scenario.tiers[0] else Speech(),
+                self._speech if node_host.tier is self.scenario.tiers[0] else RequestFormat(),
             ),
         )
         node.excuse_for = self._excuse_for  # type: ignore[method-assign]
         for balancer, address in list(node_host.addresses.items()):
-            self.stage.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
+            self.backend.run_as(name, lambda b=balancer, a=address: node.listen(b, a))  # type: ignore[misc]
         tier = self._tier_index[node_host.tier.name]
         if tier + 1 < len(self.scenario.tiers):
             balancer = f"b-{name}"
@@ -250,7 +250,7 @@
             node = node_host.node
             if node is None or node_host.name != name:
                 return ("127.0.0.1", 9)  # no process of this name runs there any more
-            node_host.addresses[balancer] = self.stage.run_as(
+            node_host.addresses[balancer] = self.backend.run_as(
                 name, lambda: node.listen(balancer, ("127.0.0.1", 0))
             )
         return node_host.addresses[balancer]
@@ -259,12 +259,12 @@
 
     def _launch_balancer(self, name: str) -> None:
         if name not in self._addresses:
-            self._addresses[name] = self.stage.free_address()
-        registry_address = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
+            self._addresses[name] = self.backend.free_address()
+        registry_address = self.backend.run_as("discovery", lambda: self.registry.listen_for(name))
         known_list = self.registry.balancer_started(name)
-        self._launched_at[name] = self.stage.now()
+        self._launched_at[name] = self.backend.now()
         self._configs[name] = config = self._config(name, self._addresses[name], registry_address, known_list)
-        self._balancers[name] = self.stage.launch(
+        self._balancers[name] = self.backend.launch(
             name, config, lambda status: self._balancer_ended(name, status)
         )
 
@@ -289,14 +289,14 @@
 
     def _excuse_for(self, balancer: str, since: float) -> str:
         """Return the fault that excuses a balancer for not answering a call made at `since`, or ""."""
-        now = self.stage.now()
+        now = self.backend.now()
         for name, began_at, until, reason in self._excuses:
             if name == balancer and began_at <= now and until + 0.3 >= since:
                 return reason
         return ""
 
     def _add_excuse(self, balancer: str, reason: str, seconds: float) -> None:
-        now = self.stage.now()
+        now = self.backend.now()
         self._excuses = [d for d in self._excuses if d[2] > now - 60]
         self._excuses.append((balancer, now, now + seconds, reason))
 
@@ -340,14 +340,14 @@
             case model.Kill():
                 self._log_event(f"{event.balancer} killed")
                 self._kill_balancer(event.balancer, "killed")
-                self.stage.run_as("clients", lambda: self._front_balancer_died(event.balancer))
+                self.backend.run_as("clients", lambda: self._front_balancer_died(event.balancer))
                 if event.back_s:
                     self._call_after(event.back_s, lambda: self._relaunch_balancer(event.balancer))
             case model.Reload():
                 self._reload_balancer(event.balancer)
             case model.Clock():
                 self._log_event(f"{event.balancer}: wall clock set by {event.by_s:g} s")
-                self.stage.set_clock(event.balancer, event.by_s)
+                self.backend.set_clock(event.balancer, event.by_s)
 
     def _front_balancer_died(self, balancer: str) -> None:
         if balancer in self.clients.front.addresses:
@@ -360,7 +360,7 @@
         self._log_event(f"{name} starts again")
         self._launch_balancer(name)
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.balancer_started(name))
+            self.backend.run_as("clients", lambda: self.clients.front.balancer_started(name))
 
     def _stop_balancer(self, event: model.Stop) -> None:
         name = event.balancer
@@ -369,8 +369,8 @@
             return
         self._log_event(f"{name} gets SIGTERM")
         if name in self.clients.front.addresses:
-            self.stage.run_as("clients", lambda: self.clients.front.balancer_stopping(name))
-        self._stop_sent_at[name] = self.stage.now()
+            self.backend.run_as("clients", lambda: self.clients.front.balancer_stopping(name))
+        self._stop_sent_at[name] = self.backend.now()
         running.terminate()
         limit_s = (
             min(max(c.deadline_ms for c in self.scenario.classes) / 1000, MAX_DEADLINE_COUNTED_S)
@@ -378,7 +378,7 @@
         )
         if isinstance(self._configs[name], File) and self._operator_file is not None:
             limit_s = self._operator_file.drain.kill_after_s
-        began_at = self.stage.now()
+        began_at = self.backend.now()
         for number, signal_name in enumerate(event.then, 1):
             self._call_after(
                 number * event.every_ms / 1000,
@@ -386,7 +386,7 @@
             )
 
         def check_ended() -> None:
-            if running.alive and self.stage.now() < began_at + limit_s:
+            if running.alive and self.backend.now() < began_at + limit_s:
                 self._call_after(0.05, check_ended)
                 return
             if running.alive:
@@ -398,7 +398,7 @@
 
         check_ended()
 
-    def _send_signal(self, name: str, running: Running, signal_name: str) -> None:
+    def _send_signal(self, name: str, running: BalancerHandle, signal_name: str) -> None:
         """Send a further signal to a balancer that has received SIGTERM."""
         if not running.alive:
             return
@@ -411,14 +411,14 @@
             case "hup":
                 running.reload(self._configs[name])
             case "bad-hup":
-                running.reload_unusable()
+                running.reload_invalid()
 
     def _reload_balancer(self, name: str) -> None:
         running = self._balancers.get(name)
         if running is None or not running.alive:
             return
         self._log_event(f"{name}: discovery moves, SIGHUP")
-        host, port = self.stage.run_as("discovery", lambda: self.registry.listen_for(name))
+        host, port = self.backend.run_as("discovery", lambda: self.registry.listen_for(name))
         config = self._configs[name]
         if isinstance(config, File):
             application = config.applications[0]
@@ -441,11 +441,11 @@
         return matches
 
     def _apply_for(self, node: Node, seconds: float, toggle: Callable[[Node, bool], None]) -> None:
-        self.stage.run_as(node.name, lambda: toggle(node, True))
+        self.backend.run_as(node.name, lambda: toggle(node, True))
 
         def revert() -> None:
             if not node.dead:
-                self.stage.run_as(node.name, lambda: toggle(node, False))
+                self.backend.run_as(node.name, lambda: toggle(node, False))
 
         self._call_after(seconds, revert)
 
@@ -497,7 +497,7 @@
     def _pause_process(self, name: str, node: Node | None, seconds: float) -> None:
         if name in self._balancers:
             self._add_excuse(name, "paused", seconds)
-        if node is not None and not self.stage.exact:
+        if node is not None and not self.backend.simulated:
             self._apply_for(node, seconds, lambda n, on: n.set_paused(on))
             return
         if node is not None:
@@ -505,27 +505,27 @@
             own_balancer = f"b-{name}"
             if own_balancer in self._balancers:
                 self._pause_process(own_balancer, None, seconds)
-        paused_since = self.stage.now()
-        self.stage.pause(name, True)
+        paused_since = self.backend.now()
+        self.backend.pause(name, True)
 
         def resume() -> None:
-            self.stage.pause(name, False)
-            self.checker.woke(self.stage.now(), name, paused_since)
+            self.backend.pause(name, False)
+            self.checker.woke(self.backend.now(), name, paused_since)
 
         self._call_after(seconds, resume)
 
     def _delay_network(self, name: str, node: Node | None, event: model.Delay) -> None:
         for balancer in self._balancers if name in ("clients", "discovery") else (name,):
             self._add_excuse(balancer, "its network is slow", event.for_s)
-        if node is not None and not self.stage.exact:
+        if node is not None and not self.backend.simulated:
 
             def add_delay(n: Node, on: bool) -> None:
                 n.delay_s += event.ms / 1000 * (1 if on else -1)
 
             self._apply_for(node, event.for_s, add_delay)
             return
-        self.stage.delay(name, event.ms / 1000)
-        self._call_after(event.for_s, lambda: self.stage.delay(name, -event.ms / 1000))
+        self.backend.delay(name, event.ms / 1000)
+        self._call_after(event.for_s, lambda: self.backend.delay(name, -event.ms / 1000))
 
     def _partition(self, event: model.Partition) -> None:
         names = [*(p.name for p in self._hosts), *self._balancers, "clients", "discovery"]
@@ -537,7 +537,7 @@
         for name in {*sides[0], *sides[1]}:
             if name in self._balancers:
                 self._add_excuse(name, "cut off", event.for_s)
-        if not self.stage.exact:  # in a live run a node that is cut off is paused for all
+        if not self.backend.simulated:  # in a live run a node that is cut off is paused for all
             nodes = next(side for side in sides if all(n in self._host_by_node for n in side))
             for name in nodes:
                 if (node := self._host_by_node[name].node) is not None:
@@ -545,11 +545,11 @@
             return
         pairs = [(a, b) for a in sides[0] for b in sides[1] if a != b]
         for a, b in pairs:
-            self.stage.cut(a, b, True)
+            self.backend.partition(a, b, True)
 
         def heal() -> None:
             for a, b in pairs:
-                self.stage.cut(a, b, False)
+                self.backend.partition(a, b, False)
 
         self._call_after(event.for_s, heal)
 
@@ -587,8 +587,8 @@
         node, node_host.node = node_host.node, None
         assert node is not None
         self._kill_balancer(f"b-{node.name}", "its node ended")
-        self.stage.run_as(node.name, node.close)
-        self.stage.kill(node.name)
+        self.backend.run_as(node.name, node.close)
+        self.backend.kill(node.name)
 
     def _start_replacement(self, node_host: _NodeHost, name: str) -> None:
         if node_host.node is not None:
@@ -596,14 +596,14 @@
         self._log_event(f"{name} starts")
         self._start_node(node_host, name, cold=True)
         node_host.entry = RegistryEntry(
-            name, node_host.tier.name, "active", node_host.number, self.stage.unix_ms(), self.stage.now()
+            name, node_host.tier.name, "active", node_host.number, self.backend.unix_ms(), self.backend.now()
         )
         self.registry.schedule_change(replace(node_host.entry))
 
     def _take_sample(self) -> None:
         requests_by_node = {p.name: p.node.machine.request_count for p in self._hosts if p.node is not None}
         ready = sum(self.clients.front.is_ready(n) for n in self.clients.front.addresses)
-        self.run.samples.append(Sample(self.stage.now(), requests_by_node, ready))
+        self.run.samples.append(Sample(self.backend.now(), requests_by_node, ready))
         self._call_after(SAMPLE_INTERVAL_S, self._take_sample)
 
 
