--- a/benchmarks/daily.py
+++ b/benchmarks/daily.py
@@ -1,13 +1,14 @@
-"""Daily operation, measured on loopback with real processes: one balancer, one upstream, callers that hammer it.
+"""Measures daily operation on loopback with real processes: one balancer and one upstream under constant load.
 
     python benchmarks/daily.py           # a table
     python benchmarks/daily.py --json F  # and the figures
 
-`calls`: how long an operator's call takes, idle and under load, beside callers that say nothing.
-`handover`: requests that met no answer while new versions took over one after the other, under load.
-`long`: MB a second through the balancer both ways, straight to the upstream beside it, and the process's peak memory.
+`calls`: latency of an operator's call: idle, under load, and under load with connections that send nothing.
+`handover`: requests that got no answer while new versions of the process took over one after the other under load.
+`long`: MB per second of long bodies in both directions, through the balancer and straight to the upstream, and the
+peak memory of the balancer's process.
 
-Prints figures and asserts nothing about them.
+Prints the figures and asserts nothing about them.
 """
 
 from __future__ import annotations
@@ -31,31 +32,31 @@
 
 ROOT = Path(__file__).parent.parent
 MB = 1024 * 1024
-CALLERS, CALLS, VERSIONS, SILENT = 16, 200, 10, 50
-LONG, TURNS = 32 * MB, 4
+CALLERS, OPERATOR_CALLS, HANDOVERS, SILENT_CALLERS = 16, 200, 10, 50
+LONG_BODY_BYTES, TRANSFERS = 32 * MB, 4
 
-READ = b"GET /read%b HTTP/1.1\r\nHost: b\r\nX-Txn: %d-%d\r\nX-Remaining: 2\r\n\r\n"
+READ_REQUEST = b"GET /read%b HTTP/1.1\r\nHost: b\r\nX-Txn: %d-%d\r\nX-Remaining: 2\r\n\r\n"
 
 Process = asyncio.subprocess.Process
 
 
 def free_port() -> int:
-    """A port that was free a moment ago."""
+    """Returns a TCP port that was free when this was called."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return int(listener.getsockname()[1])
 
 
-async def upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Takes any body; answers `ok`, or 32 MB where the path says so."""
+async def serve_upstream(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    """Reads and discards any request body; answers `ok`, or a 32 MB body if the request target contains `?long`."""
     try:
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).lower()
-            left = int((re.search(rb"content-length: (\d+)", head) or [b"", b"0"])[1])
-            while left:
-                left -= len(await reader.read(min(left, 256 * 1024)))
+            remaining_bytes = int((re.search(rb"content-length: (\d+)", head) or [b"", b"0"])[1])
+            while remaining_bytes:
+                remaining_bytes -= len(await reader.read(min(remaining_bytes, 256 * 1024)))
             if b"?long" in head:
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG)
-                for _ in range(LONG // (256 * 1024)):
+                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % LONG_BODY_BYTES)
+                for _ in range(LONG_BODY_BYTES // (256 * 1024)):
                     writer.write(b"x" * 256 * 1024)
                     await writer.drain()
             else:
@@ -66,20 +67,20 @@
         writer.close()
 
 
-class Bench:
-    """The upstream, and balancers with one configuration but for `ops`."""
+class BenchmarkSetup:
+    """Starts balancers for one upstream; their configurations differ only in the `ops` address."""
 
-    def __init__(self, folder: Path, port: int) -> None:
-        self.folder, self.listen = folder, free_port()
-        self.upstream = port
-        self.count = 0
+    def __init__(self, folder: Path, upstream_port: int) -> None:
+        self.folder, self.listen_port = folder, free_port()
+        self.upstream_port = upstream_port
+        self.config_count = 0
 
-    async def start(self) -> tuple[Process, int]:
-        """One more version; returns once it is ready."""
-        ops = free_port()
-        self.count += 1
-        path = self.folder / f"config-{self.count}.json"
-        member = {"id": "s0", "host_port": f"127.0.0.1:{self.upstream}", "phase": "active"}
+    async def start_balancer(self) -> tuple[Process, int]:
+        """Starts another balancer process and returns it with its operator port once it is ready."""
+        ops_port = free_port()
+        self.config_count += 1
+        path = self.folder / f"config-{self.config_count}.json"
+        member = {"id": "s0", "host_port": f"127.0.0.1:{self.upstream_port}", "phase": "active"}
         classes = [
             {"name": "read", "target": 2_000, "deadline": 2_000, "effect": "retryable"},
             {"name": "put", "target": 2_000, "deadline": 2_000, "effect": "fragile"},
@@ -88,8 +89,8 @@
             json.dumps(
                 {
                     "name": "b",
-                    "listen": f"127.0.0.1:{self.listen}",
-                    "ops": f"127.0.0.1:{ops}",
+                    "listen": f"127.0.0.1:{self.listen_port}",
+                    "ops": f"127.0.0.1:{ops_port}",
                     "discovery": "127.0.0.1:1",
                     "seed": "1",
                     "limits": {"sockets": 1024},
@@ -104,25 +105,25 @@
         )
         while True:
             try:
-                if (await call(ops, "GET", "/_ready")).startswith(b"HTTP/1.1 200"):
-                    return process, ops
+                if (await operator_call(ops_port, "GET", "/_ready")).startswith(b"HTTP/1.1 200"):
+                    return process, ops_port
             except OSError:
                 pass
             await asyncio.sleep(0.01)
 
 
 @asynccontextmanager
-async def bench() -> AsyncIterator[Bench]:
+async def benchmark_setup() -> AsyncIterator[BenchmarkSetup]:
     with tempfile.TemporaryDirectory() as folder:
-        server = await asyncio.start_server(upstream, "127.0.0.1", 0, limit=2 * MB)
+        server = await asyncio.start_server(serve_upstream, "127.0.0.1", 0, limit=2 * MB)
         try:
-            yield Bench(Path(folder), server.sockets[0].getsockname()[1])
+            yield BenchmarkSetup(Path(folder), server.sockets[0].getsockname()[1])
         finally:
             server.close()
 
 
-async def call(port: int, method: str, target: str) -> bytes:
-    """An operator's call."""
+async def operator_call(port: int, method: str, target: str) -> bytes:
+    """Sends an operator's call and returns the whole answer."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: o\r\n\r\n".encode())
     answer = await reader.read()
@@ -131,22 +132,22 @@
 
 
 class Load:
-    """Callers that send one request after the other, on kept connections, until they are stopped."""
+    """Concurrent callers on keep-alive connections; each sends one request after the other until stopped."""
 
     def __init__(self, port: int) -> None:
         self._port, self._stopped = port, False
         self.answered, self.refused, self.unanswered = 0, 0, 0
         self._tasks = [asyncio.ensure_future(self._run(i)) for i in range(CALLERS)]
 
-    async def _run(self, number: int) -> None:
+    async def _run(self, caller_number: int) -> None:
         writer: asyncio.StreamWriter | None = None
-        turn = 0
+        request_number = 0
         while not self._stopped:
-            turn += 1
+            request_number += 1
             try:
                 if writer is None:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
-                writer.write(READ % (b"", number, turn))
+                writer.write(READ_REQUEST % (b"", caller_number, request_number))
                 head = await reader.readuntil(b"\r\n\r\n")
                 length = int((re.search(rb"(?i)content-length: (\d+)", head) or [b"", b"0"])[1])
                 await reader.readexactly(length)
@@ -165,60 +166,62 @@
         await asyncio.gather(*self._tasks)
 
 
-async def end(process: Process) -> None:
+async def stop_balancer(process: Process) -> None:
     process.send_signal(signal.SIGTERM)
     await process.wait()
 
 
-async def calls() -> list[dict[str, Any]]:
-    """Milliseconds for a call."""
+async def measure_operator_calls() -> list[dict[str, Any]]:
+    """Measures the latency of operator calls, in milliseconds."""
     rows = []
-    async with bench() as b:
-        process, ops = await b.start()
-        for name in ("idle", "under load", "under load, beside silent callers"):
-            load = Load(b.listen) if name != "idle" else None
-            silent = []
-            if "silent" in name:
-                silent = [await asyncio.open_connection("127.0.0.1", ops) for _ in range(SILENT)]
-            took = []
-            for i in range(CALLS):
-                begun = time.perf_counter()
-                await call(ops, "GET", "/_vars" if i % 2 else "/_ready")
-                took.append((time.perf_counter() - begun) * 1000)
-            for _, writer in silent:
+    async with benchmark_setup() as setup:
+        process, ops_port = await setup.start_balancer()
+        for condition in ("idle", "under load", "under load, beside silent callers"):
+            load = Load(setup.listen_port) if condition != "idle" else None
+            silent_connections = []
+            if "silent" in condition:
+                silent_connections = [
+                    await asyncio.open_connection("127.0.0.1", ops_port) for _ in range(SILENT_CALLERS)
+                ]
+            durations_ms = []
+            for i in range(OPERATOR_CALLS):
+                started = time.perf_counter()
+                await operator_call(ops_port, "GET", "/_vars" if i % 2 else "/_ready")
+                durations_ms.append((time.perf_counter() - started) * 1000)
+            for _, writer in silent_connections:
                 writer.close()
             if load is not None:
                 await load.stop()
-            took.sort()
+            durations_ms.sort()
             rows.append(
                 {
-                    "calls": name,
-                    "median_ms": round(statistics.median(took), 2),
-                    "p99_ms": round(took[int(0.99 * len(took))], 2),
-                    "most_ms": round(took[-1], 2),
+                    "calls": condition,
+                    "median_ms": round(statistics.median(durations_ms), 2),
+                    "p99_ms": round(durations_ms[int(0.99 * len(durations_ms))], 2),
+                    "most_ms": round(durations_ms[-1], 2),
                 }
             )
-        await end(process)
+        await stop_balancer(process)
     return rows
 
 
-async def handover() -> list[dict[str, Any]]:
-    """Requests without an answer over new versions under load."""
-    async with bench() as b:
-        process, _ = await b.start()
-        load, ready = Load(b.listen), []
-        for _ in range(VERSIONS):
-            begun = time.perf_counter()
-            new, _ = await b.start()
-            ready.append(time.perf_counter() - begun)
-            await end(process)
-            process = new
+async def measure_handover() -> list[dict[str, Any]]:
+    """Counts requests without an answer while new versions take over under load."""
+    async with benchmark_setup() as setup:
+        process, _ = await setup.start_balancer()
+        load, ready_times_s = Load(setup.listen_port), []
+        for _ in range(HANDOVERS):
+            started = time.perf_counter()
+            new_process, _ = await setup.start_balancer()
+            ready_times_s.append(time.perf_counter() - started)
+            await stop_balancer(process)
+            process = new_process
         await load.stop()
-        await end(process)
+        await stop_balancer(process)
     return [
         {
-            "versions": VERSIONS,
-            "ready_s": round(statistics.median(ready), 2),
+            "versions": HANDOVERS,
+            "ready_s": round(statistics.median(ready_times_s), 2),
             "answered": load.answered,
             "refused": load.refused,
             "unanswered": load.unanswered,
@@ -226,81 +229,85 @@
     ]
 
 
-async def transfer(port: int, up: bool) -> float:
-    """MB a second of one 32 MB body."""
+async def transfer(port: int, upload: bool) -> float:
+    """Transfers one 32 MB body and returns the rate in MB per second."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=2 * MB)
-    begun = time.perf_counter()
-    if up:
+    started = time.perf_counter()
+    if upload:
         writer.write(
             b"POST /put HTTP/1.1\r\nHost: b\r\nX-Txn: u%d\r\nX-Remaining: 2\r\nContent-Length: %d\r\n\r\n"
-            % (time.monotonic_ns(), LONG)
+            % (time.monotonic_ns(), LONG_BODY_BYTES)
         )
-        for _ in range(LONG // (256 * 1024)):
+        for _ in range(LONG_BODY_BYTES // (256 * 1024)):
             writer.write(b"x" * 256 * 1024)
             await writer.drain()
-        left = 2
+        remaining_bytes = 2
     else:
-        writer.write(READ % (b"?long", 0, time.monotonic_ns()))
-        left = LONG
+        writer.write(READ_REQUEST % (b"?long", 0, time.monotonic_ns()))
+        remaining_bytes = LONG_BODY_BYTES
     await reader.readuntil(b"\r\n\r\n")
-    while left:
-        left -= len(await reader.read(min(left, 256 * 1024)))
+    while remaining_bytes:
+        remaining_bytes -= len(await reader.read(min(remaining_bytes, 256 * 1024)))
     writer.close()
-    return LONG / MB / (time.perf_counter() - begun)
+    return LONG_BODY_BYTES / MB / (time.perf_counter() - started)
 
 
 def peak_mb(pid: int) -> float:
-    """The most memory that a process has held."""
-    text = Path(f"/proc/{pid}/status").read_text()
-    return int((re.search(r"VmHWM:\s+(\d+) kB", text) or ["", "0"])[1]) / 1024
+    """Returns the peak resident memory of a process, in MB."""
+    status = Path(f"/proc/{pid}/status").read_text()
+    return int((re.search(r"VmHWM:\s+(\d+) kB", status) or ["", "0"])[1]) / 1024
 
 
-async def long() -> list[dict[str, Any]]:
-    """Throughput, straight and through the balancer, and its memory with eight at once."""
+async def measure_long_bodies() -> list[dict[str, Any]]:
+    """Measures throughput straight and through the balancer, and its peak memory with eight concurrent transfers."""
     rows: list[dict[str, Any]] = []
-    async with bench() as b:
-        process, _ = await b.start()
-        before = peak_mb(process.pid)
-        for up in (True, False):
-            for way, port in (("straight", b.upstream), ("through", b.listen)):
-                rates = [await transfer(port, up) for _ in range(TURNS)]
+    async with benchmark_setup() as setup:
+        process, _ = await setup.start_balancer()
+        initial_peak_mb = peak_mb(process.pid)
+        for upload in (True, False):
+            for route, port in (("straight", setup.upstream_port), ("through", setup.listen_port)):
+                rates_mb_per_s = [await transfer(port, upload) for _ in range(TRANSFERS)]
                 rows.append(
                     {
-                        "long": "request" if up else "answer",
-                        "way": way,
-                        "mb_a_s": round(statistics.median(rates)),
+                        "long": "request" if upload else "answer",
+                        "way": route,
+                        "mb_a_s": round(statistics.median(rates_mb_per_s)),
                     }
                 )
-        await asyncio.gather(*(transfer(b.listen, i % 2 == 0) for i in range(8)))
+        await asyncio.gather(*(transfer(setup.listen_port, i % 2 == 0) for i in range(8)))
         rows.append(
             {
                 "long": "8 at once",
                 "peak_mb": round(peak_mb(process.pid), 1),
-                "peak_before_mb": round(before, 1),
+                "peak_before_mb": round(initial_peak_mb, 1),
             }
         )
-        await end(process)
+        await stop_balancer(process)
     return rows
 
 
-async def measure(what: str) -> list[dict[str, Any]]:
-    """What was asked for."""
-    wanted = {"calls": calls, "handover": handover, "long": long}
+async def run_measurements(selected: str) -> list[dict[str, Any]]:
+    """Runs the selected measurement, or all of them, and returns their rows."""
+    measurements = {
+        "calls": measure_operator_calls,
+        "handover": measure_handover,
+        "long": measure_long_bodies,
+    }
     rows: list[dict[str, Any]] = []
-    for name, part in wanted.items():
-        if what in ("all", name):
-            rows += await part()
+    for name, measurement in measurements.items():
+        if selected in ("all", name):
+            rows += await measurement()
     return rows
 
 
 def main() -> None:
-    """Measure and print."""
+    """Runs the measurements that the command line selects and prints the figures."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", nargs="?", default="all", choices=("all", "calls", "handover", "long"))
     parser.add_argument("--json", metavar="FILE")
     options = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    rows = asyncio.run(measure(options.what))
+    rows = asyncio.run(run_measurements(options.what))
     for row in rows:
         print("  ".join(f"{k}={v}" for k, v in row.items()))
     if options.json:
