--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,12 +1,13 @@
-"""A soak of restarts: real balancer processes on loopback, restarted by a seed under clients and troubles.
+"""Soak test of restarts: real balancer processes on loopback, restarted under client load and injected faults.
 
     python benchmarks/restarts.py [--seeds N] [--first K] [--jobs J] [--json FILE]
 
 Each seed draws a scenario (passpost/rehearsal/restarts.py): planned restarts with series of SIGTERM, SIGINT and
-SIGHUP, with good and unusable files; upstreams that hang, reset, crash or drain; discovery asked or pushed, down or
-moving; by the platform's program, a sidecar, or two workers. A seed with a violation is printed with the timeline of
-each request. Exit status: 0 if none but the seeds in KNOWN-RED.txt have one, and all of these do that are not listed
-as failing at times.
+SIGHUP, with valid and invalid configuration files; upstreams that hang, reset connections, crash or drain; discovery
+that is asked for the list or pushes it, and that is down or moves; the balancer runs as the platform's program, as a
+sidecar, or as two workers. For a seed with violations the timelines of the affected requests are printed. Exit status:
+0 if only seeds listed in KNOWN-RED.txt had violations, and each of them that was played and isn't listed as failing
+"at times" had one; 1 otherwise.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from passpost.rehearsal.script import load
 
 ROOT = Path(__file__).parent.parent
-SIDECAR = ROOT / "examples" / "consent-desk" / "rehearsal.toml"
-TIMELINES = 5  # that are printed of one seed; the rest is counted
+SIDECAR_SCRIPT = ROOT / "examples" / "consent-desk" / "rehearsal.toml"
+MAX_TIMELINES = 5  # printed for each seed; further violations are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What came of one seed."""
+    """The result of one seed."""
 
     seed: int
     host: str
@@ -41,69 +42,71 @@
     violations: tuple[Violation, ...]
 
 
-def play(seed: int) -> Run:
-    """One seed, in real time."""
-    scenario = draw(seed, load(str(SIDECAR)))
-    night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
-    served = sum(job.outcome == "served" for job in night.jobs)
+def play_seed(seed: int) -> Run:
+    """Plays one seed in real time and checks the result."""
+    scenario = draw(seed, load(str(SIDECAR_SCRIPT)))
+    result = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
+    served = sum(job.outcome == "served" for job in result.jobs)
     mode = scenario.script.discovery.mode
-    return Run(seed, scenario.host(), mode, len(night.jobs), served, tuple(violations(night)))
+    return Run(seed, scenario.host(), mode, len(result.jobs), served, tuple(violations(result)))
 
 
-def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
-    """All runs, in the order of their seeds."""
-    context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(jobs, mp_context=context) as pool:
-        yield from pool.map(play, seeds)
+def play_seeds(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
+    """Plays the seeds in parallel processes and yields the results in the order of the seeds."""
+    spawn_context = multiprocessing.get_context("spawn")
+    with ProcessPoolExecutor(jobs, mp_context=spawn_context) as pool:
+        yield from pool.map(play_seed, seeds)
 
 
-def known_red() -> dict[int, bool]:
-    """The seeds that KNOWN-RED.txt lists, and whether each fails at times only."""
+def read_known_red() -> dict[int, bool]:
+    """Returns the seeds that KNOWN-RED.txt lists, each with whether it fails only at times."""
     lines = (ROOT / "KNOWN-RED.txt").read_text(encoding="utf-8").splitlines()
     entries = [line.split(" | ") for line in lines if line.startswith("soak ")]
     return {int(entry[0].removeprefix("soak ")): entry[-1].startswith("at times") for entry in entries}
 
 
-def report(run: Run, known: bool) -> None:
-    """A line for a run, and the timelines of what went wrong."""
-    said = (
+def print_run(run: Run, is_known_red: bool) -> None:
+    """Prints a line for the run and the timelines of its first violations."""
+    note = (
         ""
         if not run.violations
-        else f"  {len(run.violations)} VIOLATIONS" + (" (known red)" if known else "")
+        else f"  {len(run.violations)} VIOLATIONS" + (" (known red)" if is_known_red else "")
     )
     print(
-        f"{run.seed:8}  {run.host:10} {run.discovery:5} {run.requests:6} requests {run.served:6} served{said}",
+        f"{run.seed:8}  {run.host:10} {run.discovery:5} {run.requests:6} requests {run.served:6} served{note}",
         flush=True,
     )
-    for violation in run.violations[:TIMELINES]:
+    for violation in run.violations[:MAX_TIMELINES]:
         print(f"          {violation.what}")
         for line in violation.timeline:
             print(f"            {line}")
 
 
 def main() -> int:
-    """Play the seeds, print what came of each, and sum up."""
+    """Plays the seeds, prints the result of each and a summary, and returns the exit status."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--seeds", type=int, default=50, help="how many")
-    parser.add_argument("--first", type=int, default=1, help="the first of them")
-    parser.add_argument("--jobs", type=int, default=2, help="runs side by side")
-    parser.add_argument("--json", type=Path, help="write the runs to this file too")
+    parser.add_argument("--seeds", type=int, default=50, help="number of seeds to play")
+    parser.add_argument("--first", type=int, default=1, help="first seed")
+    parser.add_argument("--jobs", type=int, default=2, help="number of seeds played in parallel")
+    parser.add_argument("--json", type=Path, help="also write the results to this file")
     options = parser.parse_args()
     runs = []
-    red = known_red()
-    for run in played(range(options.first, options.first + options.seeds), options.jobs):
-        report(run, run.seed in red)
+    known_seeds = read_known_red()
+    for run in play_seeds(range(options.first, options.first + options.seeds), options.jobs):
+        print_run(run, run.seed in known_seeds)
         runs.append(run)
     if options.json:
         options.json.write_text(json.dumps([asdict(run) for run in runs], indent=1))
-    bad = {run.seed for run in runs if run.violations}
-    always = {run.seed for run in runs if not red.get(run.seed, True)}
-    print(f"{len(runs)} seeds, {sum(r.requests for r in runs)} requests, {len(bad)} seeds with violations")
-    for seed in sorted(always - bad):
-        print(f"KNOWN-RED.txt lists seed {seed}, and nothing went wrong")
-    return 0 if always <= bad <= red.keys() else 1
+    failed_seeds = {run.seed for run in runs if run.violations}
+    expected_failures = {run.seed for run in runs if not known_seeds.get(run.seed, True)}
+    print(
+        f"{len(runs)} seeds, {sum(r.requests for r in runs)} requests, {len(failed_seeds)} seeds with violations"
+    )
+    for seed in sorted(expected_failures - failed_seeds):
+        print(f"KNOWN-RED.txt lists seed {seed}, but it had no violation")
+    return 0 if expected_failures <= failed_seeds <= known_seeds.keys() else 1
 
 
 if __name__ == "__main__":
