--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,10 +1,11 @@
-"""What many balancers come to together, by their number: calls for the list, calls to cold servers, and a busy one.
+"""Simulates fleets of different sizes: calls for the list, calls to cold servers, and one busier balancer.
 
     python benchmarks/fleet.py [--json FILE]
 
-All balancers are instances of the module on one virtual clock; nothing is measured in wall time, and the same program
-prints the same figures. Discovery is one service that takes calls in turn and could answer one of each balancer in 5 s;
-it works off a call whose 2 s are over too. The servers take each call the same time, whatever they hold.
+All balancers are instances of the decision module on one virtual clock. Nothing is measured in wall time, so every run
+of the same code prints the same figures. Discovery is one service that answers calls one after the other, fast enough
+for one call of each balancer in 5 s; it also processes calls that timed out after 2 s. The time that a server takes
+for a call doesn't depend on how many others it has.
 """
 
 from __future__ import annotations
@@ -39,187 +40,233 @@
 from umberworks.rules import Balancer
 
 SIZES = (5, 20, 60, 200)
-ROUND_MS, TIMEOUT_MS, SLICE_MS = 5_000.0, 2_000.0, 100.0
-LENGTH_MS = 30_000.0
-CLASS = RequestClass("frame", 1_000.0, 3_000.0, Effect.REPEATABLE)
-TAKES_MS, EACH_PER_S, BUSY, SERVERS_EACH = 150.0, 40.0, 5.0, 5
+DISCOVERY_ROUND_MS, CALL_TIMEOUT_MS, RATE_WINDOW_MS = 5_000.0, 2_000.0, 100.0
+SIMULATED_MS = 30_000.0
+REQUEST_CLASS = RequestClass("frame", 1_000.0, 3_000.0, Effect.REPEATABLE)
+ATTEMPT_MS, REQUESTS_PER_S, BUSY_FACTOR, SERVERS_PER_BALANCER = 150.0, 40.0, 5.0, 5
 MEMBERS = tuple(Member(f"s{i}") for i in range(20))
-# Cold servers: two cores each, and of the settings what the fourth rule rests on.
-CORES, COLD_MS, COLD_FROM, FACTOR, WINDOW_MS, LOAD = 2, 15_000.0, 0.2, 3.0, 1_500.0, 0.8
-KNOWN_MS, WATCHED_MS, NEWS_MS = 8_000.0, 12_000.0, 300.0
+# Cold servers have two cores each. The others are the settings behind the rule "no cold node is pushed over".
+CORES, COLD_MS, COLD_FROM, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS, LOAD_SHARE = (
+    2,
+    15_000.0,
+    0.2,
+    3.0,
+    1_500.0,
+    0.8,
+)
+COLD_START_AFTER_MS, OBSERVED_MS, ANNOUNCEMENT_DELAY_MS = 8_000.0, 12_000.0, 300.0
 
 
-def balancer(size: int, seed: int, asks: bool) -> Balancer:
-    """One of so many."""
-    return Balancer(Settings((CLASS,), balancers=size, pulls_list=asks, max_attempts=3), seed)
+def create_balancer(size: int, seed: int, pulls_list: bool) -> Balancer:
+    """Creates one balancer of a fleet of `size`."""
+    return Balancer(Settings((REQUEST_CLASS,), balancers=size, pulls_list=pulls_list, max_attempts=3), seed)
 
 
-class Clock:
-    """Events of all balancers in their order."""
+class EventQueue:
+    """The virtual clock and the pending events of all balancers, in order of time."""
 
     def __init__(self) -> None:
-        self.now = 1_000.0
-        self._due: list[tuple[float, int, int, Event]] = []
-        self._count = count()
-
-    def at(self, when: float, who: int, event: Event) -> None:
-        """Something will happen."""
-        heappush(self._due, (when, next(self._count), who, event))
-
-    def next(self, end: float) -> tuple[int, Event] | None:
-        """The next that happens before `end`."""
-        if not self._due or self._due[0][0] > end:
-            self.now = end
+        self.now_ms = 1_000.0
+        self._queue: list[tuple[float, int, int, Event]] = []
+        self._sequence = count()
+
+    def schedule(self, at_ms: float, balancer_index: int, event: Event) -> None:
+        """Schedules an event for a balancer."""
+        heappush(self._queue, (at_ms, next(self._sequence), balancer_index, event))
+
+    def pop_until(self, end_ms: float) -> tuple[int, Event] | None:
+        """Removes and returns the next event that is due by `end_ms` and advances the clock; None if there is none."""
+        if not self._queue or self._queue[0][0] > end_ms:
+            self.now_ms = end_ms
             return None
-        self.now, _, who, event = heappop(self._due)
-        return who, event
+        self.now_ms, _, balancer_index, event = heappop(self._queue)
+        return balancer_index, event
 
 
-def lists(size: int) -> dict[str, float]:
-    """All ask for the list: at a start together, and once all watches have ended together."""
-    clock, turn = Clock(), ROUND_MS / size
-    fleet = [balancer(size, seed, asks=True) for seed in range(size)]
-    free_at, calls, has = clock.now, list[float](), dict[int, float]()
+def measure_list_calls(size: int) -> dict[str, float]:
+    """All balancers ask for the list at the same time: at a common start, and after all watches ended together."""
+    events, service_ms = EventQueue(), DISCOVERY_ROUND_MS / size
+    fleet = [create_balancer(size, seed, pulls_list=True) for seed in range(size)]
+    free_at_ms, call_times_ms, received_at_ms = events.now_ms, list[float](), dict[int, float]()
 
-    def carry_out(who: int, actions: list[Action]) -> None:
-        nonlocal free_at
+    def process_actions(balancer_index: int, actions: list[Action]) -> None:
+        nonlocal free_at_ms
         for action in actions:
             if isinstance(action, SetTimer) and action.token == "list":
-                clock.at(action.at_ms, who, TimerDue("list"))
+                events.schedule(action.at_ms, balancer_index, TimerDue("list"))
             elif isinstance(action, Subscribe):
-                calls.append(clock.now)
-                free_at = max(free_at, clock.now) + turn
-                late = free_at - clock.now > TIMEOUT_MS
-                kind = ListKind.FAILED if late else ListKind.CHANGES
-                clock.at(clock.now + TIMEOUT_MS if late else free_at, who, ListUpdate(kind))
-
-    def play(first: ListUpdate) -> tuple[float, float, float]:
-        """The most calls in a tenth of a second, failed calls for each balancer, and when the last had the list."""
-        begun, failed = clock.now, 0
-        calls.clear()
-        has.clear()
-        for who, one in enumerate(fleet):
-            carry_out(who, one.handle(first, clock.now))
-        while (found := clock.next(begun + LENGTH_MS)) is not None:
-            who, event = found
+                call_times_ms.append(events.now_ms)
+                free_at_ms = max(free_at_ms, events.now_ms) + service_ms
+                timed_out = free_at_ms - events.now_ms > CALL_TIMEOUT_MS
+                kind = ListKind.FAILED if timed_out else ListKind.CHANGES
+                events.schedule(
+                    events.now_ms + CALL_TIMEOUT_MS if timed_out else free_at_ms,
+                    balancer_index,
+                    ListUpdate(kind),
+                )
+
+    def run_scenario(first_update: ListUpdate) -> tuple[float, float, float]:
+        """Returns the most calls in 100 ms, the failed calls per balancer, and the seconds until all had the list."""
+        start_ms, failed_calls = events.now_ms, 0
+        call_times_ms.clear()
+        received_at_ms.clear()
+        for balancer_index, balancer in enumerate(fleet):
+            process_actions(balancer_index, balancer.handle(first_update, events.now_ms))
+        while (entry := events.pop_until(start_ms + SIMULATED_MS)) is not None:
+            balancer_index, event = entry
             if isinstance(event, ListUpdate):
-                failed += event.kind is ListKind.FAILED
+                failed_calls += event.kind is ListKind.FAILED
                 if event.kind is ListKind.CHANGES:
-                    has[who] = clock.now
-            carry_out(who, fleet[who].handle(event, clock.now))
-        most = max(sum(t <= other < t + SLICE_MS for other in calls) for t in set(calls))
-        last = (max(has.values()) - begun) / 1000 if len(has) == size else float("inf")
-        return most, failed / size, last
+                    received_at_ms[balancer_index] = events.now_ms
+            process_actions(balancer_index, fleet[balancer_index].handle(event, events.now_ms))
+        busiest_window = max(
+            sum(time_ms <= other_ms < time_ms + RATE_WINDOW_MS for other_ms in call_times_ms)
+            for time_ms in set(call_times_ms)
+        )
+        last_received_s = (
+            (max(received_at_ms.values()) - start_ms) / 1000 if len(received_at_ms) == size else float("inf")
+        )
+        return busiest_window, failed_calls / size, last_received_s
 
-    start = play(ListUpdate(ListKind.SAVED, MEMBERS))
+    startup_figures = run_scenario(ListUpdate(ListKind.SAVED, MEMBERS))
     names = ("most_in_100_ms", "failed_each", "all_have_it_s")
-    ended = play(ListUpdate(ListKind.FAILED))
-    return {f"start_{n}": v for n, v in zip(names, start, strict=True)} | {
-        f"ended_{n}": v for n, v in zip(names, ended, strict=True)
+    watch_end_figures = run_scenario(ListUpdate(ListKind.FAILED))
+    return {f"start_{name}": value for name, value in zip(names, startup_figures, strict=True)} | {
+        f"ended_{name}": value for name, value in zip(names, watch_end_figures, strict=True)
     }
 
 
-def cold(size: int, new: float) -> dict[str, float]:
-    """So large a part of the servers gives way to cold ones, of which all hear at one moment; one balancer is busier.
+def measure_cold_servers(size: int, replaced_share: float) -> dict[str, float]:
+    """Replaces a share of the servers by cold ones, announced to all balancers at once; one balancer is busier.
 
-    What they get together in a window against the rule's budget (N + 2 roots of N + 2), the worst server and the mean.
+    For each cold server, the calls of all balancers in a window are divided by the rule's budget: N + 2 sqrt(N) + 2,
+    where N is the overload factor times what the server can process in a window. The highest quotient of a server
+    counts. Returns the figure of the worst server and the mean over the cold servers.
     """
-    clock, chance = Clock(), random.Random(size)
+    events, rng = EventQueue(), random.Random(size)
     settings = Settings(
-        (CLASS,),
+        (REQUEST_CLASS,),
         balancers=size,
         max_attempts=3,
         cold_ms=COLD_MS,
         cold_from=COLD_FROM,
-        cold_overload_factor=FACTOR,
-        cold_window_ms=WINDOW_MS,
+        cold_overload_factor=OVERLOAD_FACTOR,
+        cold_window_ms=OVERLOAD_WINDOW_MS,
     )
     fleet = [Balancer(settings, seed) for seed in range(size)]
-    begun, starts = clock.now, clock.now + KNOWN_MS
-    fresh = [f"n{i}" for i in range(round(new * len(MEMBERS)))]
-    calls: dict[str, list[float]] = {name: [] for name in fresh}
+    start_ms, cold_start_ms = events.now_ms, events.now_ms + COLD_START_AFTER_MS
+    cold_servers = [f"n{i}" for i in range(round(replaced_share * len(MEMBERS)))]
+    call_times_ms: dict[str, list[float]] = {name: [] for name in cold_servers}
 
-    def warmth(server: str) -> float:
+    def relative_speed(server: str) -> float:
         return (
             1.0
-            if server not in calls
-            else min(COLD_FROM + (1 - COLD_FROM) * (clock.now - starts) / COLD_MS, 1.0)
+            if server not in call_times_ms
+            else min(COLD_FROM + (1 - COLD_FROM) * (events.now_ms - cold_start_ms) / COLD_MS, 1.0)
         )
 
-    def carry_out(who: int, actions: list[Action]) -> None:
+    def process_actions(balancer_index: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
-                clock.at(action.at_ms, who, TimerDue(action.token))
+                events.schedule(action.at_ms, balancer_index, TimerDue(action.token))
             elif isinstance(action, Send):
-                if action.server in calls:
-                    calls[action.server].append(clock.now)
-                ends = clock.now + TAKES_MS * chance.expovariate(1.0) / warmth(action.server)
-                clock.at(
-                    ends, who, AttemptEnded(action.request, 0, action.server, Outcome.SERVED, answered=True)
+                if action.server in call_times_ms:
+                    call_times_ms[action.server].append(events.now_ms)
+                ends_ms = events.now_ms + ATTEMPT_MS * rng.expovariate(1.0) / relative_speed(action.server)
+                events.schedule(
+                    ends_ms,
+                    balancer_index,
+                    AttemptEnded(action.request, 0, action.server, Outcome.SERVED, answered=True),
                 )
 
-    news = [Member(name, up_since_ms=starts) for name in fresh]
-    news += [Member(m.server, readiness=Readiness.GONE) for m in MEMBERS[: len(fresh)]]
-    for who, one in enumerate(fleet):
-        carry_out(who, one.handle(ListUpdate(ListKind.WHOLE, MEMBERS), clock.now))
-        clock.at(starts + NEWS_MS, who, ListUpdate(ListKind.CHANGES, tuple(news)))
-    at, asked, weights = clock.now, 0, [BUSY] + [1.0] * (size - 1)
-    while (at := at + chance.expovariate(LOAD * len(MEMBERS) * CORES / TAKES_MS)) < starts + WATCHED_MS:
-        asked += 1
-        clock.at(
-            at, chance.choices(range(size), weights)[0], RequestArrived(asked, CLASS.name, CLASS.deadline_ms)
+    announcement = [Member(name, up_since_ms=cold_start_ms) for name in cold_servers]
+    announcement += [
+        Member(member.server, readiness=Readiness.GONE) for member in MEMBERS[: len(cold_servers)]
+    ]
+    for balancer_index, balancer in enumerate(fleet):
+        process_actions(balancer_index, balancer.handle(ListUpdate(ListKind.WHOLE, MEMBERS), events.now_ms))
+        events.schedule(
+            cold_start_ms + ANNOUNCEMENT_DELAY_MS,
+            balancer_index,
+            ListUpdate(ListKind.CHANGES, tuple(announcement)),
+        )
+    arrival_ms, request_count, weights = events.now_ms, 0, [BUSY_FACTOR] + [1.0] * (size - 1)
+    while (
+        arrival_ms := arrival_ms + rng.expovariate(LOAD_SHARE * len(MEMBERS) * CORES / ATTEMPT_MS)
+    ) < cold_start_ms + OBSERVED_MS:
+        request_count += 1
+        events.schedule(
+            arrival_ms,
+            rng.choices(range(size), weights)[0],
+            RequestArrived(request_count, REQUEST_CLASS.name, REQUEST_CLASS.deadline_ms),
+        )
+    while (entry := events.pop_until(start_ms + COLD_START_AFTER_MS + OBSERVED_MS)) is not None:
+        process_actions(entry[0], fleet[entry[0]].handle(entry[1], events.now_ms))
+    highest_shares = []
+    for server_times_ms in call_times_ms.values():
+        highest_share = 0.0
+        for i, time_ms in enumerate(server_times_ms):
+            speed = min(COLD_FROM + (1 - COLD_FROM) * (time_ms - cold_start_ms) / COLD_MS, 1.0)
+            allowed_calls = OVERLOAD_FACTOR * speed * CORES / ATTEMPT_MS * OVERLOAD_WINDOW_MS
+            calls_in_window = sum(
+                time_ms - OVERLOAD_WINDOW_MS < other_ms for other_ms in server_times_ms[: i + 1]
+            )
+            highest_share = max(
+                highest_share, calls_in_window / (allowed_calls + 2 * math.sqrt(allowed_calls) + 2)
+            )
+        highest_shares.append(highest_share)
+    return {
+        f"cold_{replaced_share:.0%}_worst": max(highest_shares),
+        f"cold_{replaced_share:.0%}_mean": sum(highest_shares) / len(highest_shares),
+    }
+
+
+def measure_busy_balancer(size: int) -> dict[str, float]:
+    """One balancer gets five times the requests of each other one, and no server is slow: the share each refuses."""
+    members = tuple(Member(f"s{i}") for i in range(SERVERS_PER_BALANCER * size))
+    # A server's time for a call doesn't depend on its load, so each balancer can be simulated by itself.
+    request_rates = {"busy": (REQUESTS_PER_S * BUSY_FACTOR, 1), "other": (REQUESTS_PER_S, 2)}
+    return {
+        f"{name}_refused": refused_share(size, rate_per_s, seed, members)
+        for name, (rate_per_s, seed) in request_rates.items()
+    }
+
+
+def refused_share(size: int, rate_per_s: float, seed: int, members: tuple[Member, ...]) -> float:
+    """Returns the share of its requests that one balancer of a fleet of `size` refuses at the given rate."""
+    events, balancer, rng = EventQueue(), create_balancer(size, seed, pulls_list=False), random.Random(seed)
+    balancer.handle(ListUpdate(ListKind.WHOLE, members), events.now_ms)
+    arrival_ms, end_ms = events.now_ms, events.now_ms + SIMULATED_MS
+    request_count, refused_count = 0, 0
+    while (arrival_ms := arrival_ms + rng.expovariate(rate_per_s / 1000)) < end_ms:
+        request_count += 1
+        events.schedule(
+            arrival_ms, 0, RequestArrived(request_count, REQUEST_CLASS.name, REQUEST_CLASS.deadline_ms)
         )
-    while (found := clock.next(begun + KNOWN_MS + WATCHED_MS)) is not None:
-        carry_out(found[0], fleet[found[0]].handle(found[1], clock.now))
-    shares = []
-    for times in calls.values():
-        worst = 0.0
-        for i, t in enumerate(times):
-            part = min(COLD_FROM + (1 - COLD_FROM) * (t - starts) / COLD_MS, 1.0)
-            most = FACTOR * part * CORES / TAKES_MS * WINDOW_MS
-            count = sum(t - WINDOW_MS < other for other in times[: i + 1])
-            worst = max(worst, count / (most + 2 * math.sqrt(most) + 2))
-        shares.append(worst)
-    return {f"cold_{new:.0%}_worst": max(shares), f"cold_{new:.0%}_mean": sum(shares) / len(shares)}
-
-
-def busy(size: int) -> dict[str, float]:
-    """One balancer has five times the others' requests, and nothing is slow: who refuses what."""
-    members = tuple(Member(f"s{i}") for i in range(SERVERS_EACH * size))
-    # Servers take the same time whatever they hold, so that each balancer can be played by itself.
-    shares = {"busy": (EACH_PER_S * BUSY, 1), "other": (EACH_PER_S, 2)}
-    return {f"{name}_refused": refused(size, rate, seed, members) for name, (rate, seed) in shares.items()}
-
-
-def refused(size: int, rate: float, seed: int, members: tuple[Member, ...]) -> float:
-    """The share that one of so many balancers refuses of so many requests a second."""
-    clock, one, chance = Clock(), balancer(size, seed, asks=False), random.Random(seed)
-    one.handle(ListUpdate(ListKind.WHOLE, members), clock.now)
-    at, end = clock.now, clock.now + LENGTH_MS
-    asked, said_no = 0, 0
-    while (at := at + chance.expovariate(rate / 1000)) < end:
-        asked += 1
-        clock.at(at, 0, RequestArrived(asked, CLASS.name, CLASS.deadline_ms))
-    while (found := clock.next(end + CLASS.deadline_ms)) is not None:
-        for action in one.handle(found[1], clock.now):
+    while (entry := events.pop_until(end_ms + REQUEST_CLASS.deadline_ms)) is not None:
+        for action in balancer.handle(entry[1], events.now_ms):
             if isinstance(action, SetTimer):
-                clock.at(action.at_ms, 0, TimerDue(action.token))
+                events.schedule(action.at_ms, 0, TimerDue(action.token))
             elif isinstance(action, Send):
                 ended = AttemptEnded(action.request, 0, action.server, Outcome.SERVED, answered=True)
-                clock.at(clock.now + TAKES_MS * chance.expovariate(1.0), 0, ended)
-            said_no += isinstance(action, Refuse)
-    return said_no / asked
+                events.schedule(events.now_ms + ATTEMPT_MS * rng.expovariate(1.0), 0, ended)
+            refused_count += isinstance(action, Refuse)
+    return refused_count / request_count
 
 
 def main() -> None:
-    """Print the table, and write it as JSON if asked to."""
+    """Prints the table and writes it as JSON if requested."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--json", type=Path, help="write the figures to this file too")
+    parser.add_argument("--json", type=Path, help="also write the figures to this file")
     options = parser.parse_args()
     rows = [
-        {"balancers": float(size)} | lists(size) | cold(size, 0.6) | cold(size, 1.0) | busy(size)
+        {"balancers": float(size)}
+        | measure_list_calls(size)
+        | measure_cold_servers(size, 0.6)
+        | measure_cold_servers(size, 1.0)
+        | measure_busy_balancer(size)
         for size in SIZES
     ]
     for name in rows[0]:
