--- a/benchmarks/lists.py
+++ b/benchmarks/lists.py
@@ -1,10 +1,11 @@
-"""How long a long list of upstreams holds up the loop: read and applied in slices, and in one go.
+"""Measures how long a large list of upstreams blocks the event loop, processed in slices and all at once.
 
     python benchmarks/lists.py [--json FILE]
 
-One process on uvloop: a balancer's discovery, engine and module, and an agent that serves whole lists of so many
-upstreams; each list replaces a tenth of the upstreams of the one before. A ticker notes the longest time between two
-turns of the loop while a list comes. `one go` is the same with slices turned off. Prints a table, asserts nothing.
+One process on uvloop runs a balancer's discovery, engine and decision module, and a discovery agent that serves whole
+lists; each list replaces a tenth of the upstreams of the previous one. From the moment a list is served until it is
+applied, a task records the longest time between two turns of the event loop. `one go` is the same with slices
+disabled. Prints a table and asserts nothing about it.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 from passpost import config, discovery
 from passpost.node import Node
 
-SIZES, TURNS = (400, 1_000, 10_000), 5
+SIZES, MEASURED_LISTS = (400, 1_000, 10_000), 5
 
 
-def listing(revision: int, size: int) -> dict[str, Any]:
-    """A list of so many upstreams; the next revision has a tenth of them replaced."""
-    first = revision * size // 10
+def list_answer(revision: int, size: int) -> dict[str, Any]:
+    """Returns a list of `size` upstreams; each revision replaces a tenth of those of the previous one."""
+    first_number = revision * size // 10
     members = [
         {
             "id": f"s-{i:08x}",
@@ -40,13 +41,13 @@
             "size": 1.0,
             "up_since_ms": 0,
         }
-        for i in range(first, first + size)
+        for i in range(first_number, first_number + size)
     ]
     return {"revision": revision, "complete": True, "members": members}
 
 
-class Agent:
-    """Serves what it holds, over and over."""
+class DiscoveryAgent:
+    """A discovery agent that answers every call with its current `body`."""
 
     def __init__(self) -> None:
         self.body = b""
@@ -61,16 +62,19 @@
             writer.close()
 
 
-async def measure(size: int, sliced: bool) -> dict[str, Any]:
-    """Milliseconds, over some lists."""
+async def measure_stalls(size: int, is_sliced: bool) -> dict[str, Any]:
+    """Measures the event loop's stalls and the time until a list is applied, in ms, over several lists."""
     discovery.SLICED_LIST_MEMBERS, discovery.SLICED_LIST_BYTES = (
-        (100, 16 * 1024) if sliced else (sys.maxsize, sys.maxsize)
+        (100, 16 * 1024) if is_sliced else (sys.maxsize, sys.maxsize)
     )
-    agent = Agent()
+    agent = DiscoveryAgent()
     server = await asyncio.start_server(agent.serve, "127.0.0.1", 0)
-    bodies = [json.dumps(listing(r, size)).encode() for r in range(2, TURNS + 3)]
+    bodies = [
+        json.dumps(list_answer(answer_revision, size)).encode()
+        for answer_revision in range(2, MEASURED_LISTS + 3)
+    ]
     agent.body = bodies[0]
-    data = {
+    platform_config = {
         "name": "b", "listen": "127.0.0.1:0", "seed": "1", "limits": {"sockets": 1024},
         "discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}",
         "known": {"revision": 1, "complete": True, "members": []},
@@ -79,38 +83,38 @@
             "limits": {"attemptsCap": 3}, "discovery": "push",
         },
     }  # fmt: skip
-    node = Node(config.read(data))
-    stalls, spans = [], []
-    for body, revision in zip(bodies, range(2, TURNS + 3), strict=True):
+    node = Node(config.read(platform_config))
+    stalls_ms, durations_ms = [], []
+    for body, revision in zip(bodies, range(2, MEASURED_LISTS + 3), strict=True):
         agent.body = body
-        last = f"s-{revision * size // 10 + size - 1:08x}"
-        begun = seen = time.perf_counter()
-        longest = 0.0
-        while not (last in node.discovery.members and len(node.discovery.members) == size):
+        last_id = f"s-{revision * size // 10 + size - 1:08x}"
+        started = last_turn = time.perf_counter()
+        longest_s = 0.0
+        while not (last_id in node.discovery.members and len(node.discovery.members) == size):
             await asyncio.sleep(0)
             now = time.perf_counter()
-            longest, seen = max(longest, now - seen), now
-        stalls.append(longest * 1000)
-        spans.append((seen - begun) * 1000)
+            longest_s, last_turn = max(longest_s, now - last_turn), now
+        stalls_ms.append(longest_s * 1000)
+        durations_ms.append((last_turn - started) * 1000)
     node.server.close()
     node.close()
     server.close()
     return {
         "upstreams": size,
-        "way": "slices" if sliced else "one go",
-        "first_stall_ms": round(stalls[0], 1),
-        "stall_ms": round(statistics.median(stalls[1:]), 1),
-        "worst_stall_ms": round(max(stalls), 1),
-        "list_ms": round(statistics.median(spans[1:]), 1),
+        "way": "slices" if is_sliced else "one go",
+        "first_stall_ms": round(stalls_ms[0], 1),
+        "stall_ms": round(statistics.median(stalls_ms[1:]), 1),
+        "worst_stall_ms": round(max(stalls_ms), 1),
+        "list_ms": round(statistics.median(durations_ms[1:]), 1),
     }
 
 
 def main() -> None:
-    """Measure and print."""
+    """Runs all measurements and prints the figures."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--json", metavar="FILE")
     options = parser.parse_args()
-    rows = [uvloop.run(measure(size, sliced)) for size in SIZES for sliced in (True, False)]
+    rows = [uvloop.run(measure_stalls(size, is_sliced)) for size in SIZES for is_sliced in (True, False)]
     for row in rows:
         print("  ".join(f"{k}={v}" for k, v in row.items()))
     if options.json:
