--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -1,9 +1,9 @@
-"""What a rehearsal costs, and how far a virtual night and a live one agree.
+"""Measures what a rehearsal costs, and how far its simulated and its live run of a script agree.
 
-    python benchmarks/rehearsal.py cost                 # simulated seconds a wall second, and peak memory
-    python benchmarks/rehearsal.py agree [SCRIPT ...]   # each script both ways; all of rehearsals/ by default
+    python benchmarks/rehearsal.py cost                 # simulated seconds per wall-clock second, and peak memory
+    python benchmarks/rehearsal.py agree [SCRIPT ...]   # each script simulated and live; by default all of rehearsals/
 
-Prints a table; `--json FILE` writes the figures. It asserts nothing.
+Prints a table; `--json FILE` also writes the figures. It asserts nothing about them.
 """
 
 from __future__ import annotations
@@ -27,67 +27,73 @@
 ROOT = Path(__file__).parent.parent
 
 
-def fleet(balancers: int, nodes: int, rate: float, seconds: float) -> Script:
-    """One tier of nodes at about half of what they can do."""
-    work = nodes * 2 * 1000 / rate / 2  # ms a request
+def cost_script(balancers: int, nodes: int, rate_per_s: float, length_s: float) -> Script:
+    """Returns a script with one tier of nodes, loaded to about half of their capacity."""
+    work_ms = nodes * 2 * 1000 / rate_per_s / 2  # per request: half the time of two cores on each node
     return Script(
         version=1,
-        title=f"{balancers} balancers x {nodes} nodes, {rate:g} requests a second",
-        length_s=seconds,
-        clients=Clients(rate_per_s=rate, processes=2 * balancers),
-        classes=(Class(name="read", work_ms=work, aim_ms=work * 10, deadline_ms=work * 30),),
+        title=f"{balancers} balancers x {nodes} nodes, {rate_per_s:g} requests a second",
+        length_s=length_s,
+        clients=Clients(rate_per_s=rate_per_s, processes=2 * balancers),
+        classes=(Class(name="read", work_ms=work_ms, aim_ms=work_ms * 10, deadline_ms=work_ms * 30),),
         tiers=(Tier(name="render", balancers=balancers, kinds=(Kind(name="plain", count=nodes),)),),
     )
 
 
-def cost(balancers: int, nodes: int, rate: float, seconds: float) -> dict[str, Any]:
-    """One night by itself, in a process of its own so that the peak is its own."""
-    night = virtual.play(fleet(balancers, nodes, rate, seconds), 1)
-    figures = summarize(night)
+def measure_cost(balancers: int, nodes: int, rate_per_s: float, length_s: float) -> dict[str, Any]:
+    """Measures one simulated run; called in a separate process, so that the peak memory is that of this run alone."""
+    result = virtual.play(cost_script(balancers, nodes, rate_per_s, length_s), 1)
+    figures = summarize(result)
     return {
-        "night": night.script.title,
+        "night": result.script.title,
         "simulated_s": round(figures.seconds, 1),
-        "wall_s": round(night.wall_s, 2),
-        "simulated_s_a_wall_s": round(figures.seconds / night.wall_s, 2),
-        "requests_a_wall_s": round(figures.whole.requests / night.wall_s),
+        "wall_s": round(result.wall_s, 2),
+        "simulated_s_a_wall_s": round(figures.seconds / result.wall_s, 2),
+        "requests_a_wall_s": round(figures.whole.requests / result.wall_s),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
         "served": round(figures.whole.served, 4),
-        "good": night.is_good(),
+        "good": result.is_good(),
     }
 
 
-def agree(path: str) -> dict[str, Any]:
-    """One script both ways."""
+def measure_agreement(path: str) -> dict[str, Any]:
+    """Plays one script simulated and live and returns the figures of both runs."""
     script = load(path)
-    both = {"virtual": virtual.play(script, script.seed)}
+    results = {"virtual": virtual.play(script, script.seed)}
     try:
-        both["live"] = live.play(script, script.seed)
+        results["live"] = live.play(script, script.seed)
     except live.UnplayableError as error:
         return {"script": Path(path).stem, "not played live": str(error)}
     row: dict[str, Any] = {"script": Path(path).stem}
-    for host, night in both.items():
-        figures = summarize(night)
-        row[f"{host}_served"] = round(figures.whole.served, 4)
-        row[f"{host}_in_time"] = round(figures.whole.in_time, 4)
-        row[f"{host}_p99_ms"] = round(figures.whole.p99_ms)
-        row[f"{host}_breaks"] = sum(figures.breaks.values())
-        row[f"{host}_faults"] = night.faults[:3]
-        if night.breaks:
-            row[f"{host}_first_break"] = night.breaks[0].text
+    for mode, result in results.items():
+        figures = summarize(result)
+        row[f"{mode}_served"] = round(figures.whole.served, 4)
+        row[f"{mode}_in_time"] = round(figures.whole.in_time, 4)
+        row[f"{mode}_p99_ms"] = round(figures.whole.p99_ms)
+        row[f"{mode}_breaks"] = sum(figures.breaks.values())
+        row[f"{mode}_faults"] = result.faults[:3]
+        if result.breaks:
+            row[f"{mode}_first_break"] = result.breaks[0].text
     row["difference"] = round(abs(row["virtual_served"] - row["live_served"]), 4)
     return row
 
 
-def show(rows: list[dict[str, Any]]) -> None:
-    """A plain table."""
-    heads = [k for k in rows[0] if not isinstance(rows[0][k], list)]
-    widths = [max(len(h), *(len(str(r.get(h, ""))) for r in rows)) for h in heads]
-    for row in [dict(zip(heads, heads, strict=True)), *rows]:
-        print("  ".join(str(row.get(h, "")).ljust(w) for h, w in zip(heads, widths, strict=True)))
+def print_table(rows: list[dict[str, Any]]) -> None:
+    """Prints the rows as a table without the columns that hold lists."""
+    columns = [key for key in rows[0] if not isinstance(rows[0][key], list)]
+    widths = [
+        max(len(column), *(len(str(table_row.get(column, ""))) for table_row in rows)) for column in columns
+    ]
+    for row in [dict(zip(columns, columns, strict=True)), *rows]:
+        print(
+            "  ".join(
+                str(row.get(column, "")).ljust(width) for column, width in zip(columns, widths, strict=True)
+            )
+        )
 
 
 def main() -> None:
-    """Run what was asked for."""
+    """Runs the measurement that the command line selects and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("what", choices=("cost", "agree"))
     parser.add_argument("scripts", nargs="*")
@@ -95,16 +101,16 @@
     options = parser.parse_args()
     rows = []
     if options.what == "cost":
-        for args in ((2, 12, 200.0, 60.0), (20, 200, 1000.0, 20.0)):
+        for arguments in ((2, 12, 200.0, 60.0), (20, 200, 1000.0, 20.0)):
             with ProcessPoolExecutor(1, mp_context=multiprocessing.get_context("spawn")) as pool:
-                rows.append(pool.submit(cost, *args).result())
+                rows.append(pool.submit(measure_cost, *arguments).result())
     else:
         paths = options.scripts or sorted(map(str, (ROOT / "rehearsals").glob("*.toml")))
         for path in paths:
-            begun = time.perf_counter()
-            rows.append(agree(path))
-            print(f"{path}: {time.perf_counter() - begun:.0f} s", flush=True)
-    show(rows)
+            started = time.perf_counter()
+            rows.append(measure_agreement(path))
+            print(f"{path}: {time.perf_counter() - started:.0f} s", flush=True)
+    print_table(rows)
     if options.json:
         Path(options.json).write_bytes(msgspec.json.format(json.dumps(rows).encode()))
 
