--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -1,11 +1,12 @@
-"""Late sends in a roll of the nodes while discovery moves, by how long a call for the list is heard out.
+"""Counts late sends while nodes leave in turn and balancers change discovery, by the time-out of a call for the list.
 
     python benchmarks/roll.py [--balancers N] [--calls-per-s X] [--seeds N] [--json FILE]
 
-Plays the night in simulated time, watched from outside: so many balancers moved within 2 s, a twelfth of the nodes
-leaving every second and a half, and discovery that works off so many calls a second and turns away whoever would wait
-over 2 s. Prints for each seed how many sends came later than the grace after the drain was told, with calls given up
-after 2 s, as discovery's own patience has it, and with the program as it is.
+Plays the scenario in simulated time. All balancers move to another discovery address within 2 s, and a twelfth of the
+nodes starts to leave every 1.5 s. Discovery processes a limited number of calls a second and turns away calls that
+would wait longer than 2 s. Prints for each seed how many sends, counted outside the balancers, came later than the grace
+period after a drain was announced: with calls that time out after 2 s, which is discovery's own limit for a waiting
+call, and with the current time-outs of the program.
 """
 
 from __future__ import annotations
@@ -30,8 +31,8 @@
 from passpost.rehearsal.virtual import play
 
 
-def night(balancers: int, calls_per_s: float) -> Script:
-    """The script."""
+def build_script(balancers: int, calls_per_s: float) -> Script:
+    """Returns the scenario's script."""
     kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
     events: list[Event] = [Reload(at_s=3 + 2 * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)]
     for i in range(6):
@@ -39,7 +40,7 @@
         events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=leaving, back_s=0.5))
     return Script(
         version=1,
-        title="A roll with a move",
+        title="Nodes leave in turn while balancers change discovery",
         length_s=16.0,
         contract=Contract(cold_ms=4_000, ask_within_ms=10_000),
         discovery=Discovery(notice_s=(0.1, 0.5), calls_per_s=calls_per_s),
@@ -50,22 +51,22 @@
     )
 
 
-def late(script: Script, seed: int, patience: float | None) -> int:
-    """Sends after the grace, with calls given up after so many seconds, or with the program as it is."""
-    before = discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S
-    if patience is not None:
-        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = patience, 0.0
+def count_late_sends(script: Script, seed: int, timeout_s: float | None) -> int:
+    """Counts sends after the grace period; `timeout_s` is the time-out of a call, None the program's own."""
+    original_limits = discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S
+    if timeout_s is not None:
+        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = timeout_s, 0.0
     try:
-        found = play(script, seed)
+        result = play(script, seed)
     finally:
-        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = before
-    if found.faults:
-        raise SystemExit(f"seed {seed}: {found.faults[0]}")
-    return sum(b.rule == "drain" for b in found.breaks)
+        discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = original_limits
+    if result.faults:
+        raise SystemExit(f"seed {seed}: {result.faults[0]}")
+    return sum(violation.rule == "drain" for violation in result.breaks)
 
 
 def main() -> None:
-    """Print the figures."""
+    """Plays the scenario for each seed and prints the figures."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -74,9 +75,13 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--json", type=Path)
     options = parser.parse_args()
-    script, rows = night(options.balancers, options.calls_per_s), []
+    script, rows = build_script(options.balancers, options.calls_per_s), []
     for seed in range(1, options.seeds + 1):
-        row = {"seed": seed, "given_up_at_2_s": late(script, seed, 2.0), "as_it_is": late(script, seed, None)}
+        row = {
+            "seed": seed,
+            "given_up_at_2_s": count_late_sends(script, seed, 2.0),
+            "as_it_is": count_late_sends(script, seed, None),
+        }
         rows.append(row)
         print(
             f"seed {seed}: {row['given_up_at_2_s']} late sends with 2 s, {row['as_it_is']} as it is",
