--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -46,14 +46,7 @@
 ATTEMPT_MS, REQUESTS_PER_S, BUSY_FACTOR, SERVERS_PER_BALANCER = 150.0, 40.0, 5.0, 5
 MEMBERS = tuple(Member(f"s{i}") for i in range(20))
 # Cold servers have two cores each. The others are the settings behind the rule "no cold node is pushed over".
-CORES, COLD_MS, COLD_FROM, OVERLOAD_FACTOR, OVERLOAD_WINDOW_MS, LOAD_SHARE = (
-    2,
-    15_000.0,
-    0.2,
-    3.0,
-    1_500.0,
-    0.8,
-)
+CORES, COLD_MS, COLD_FROM, OVERLOAD_FACTOR, WINDOW_MS, LOAD_SHARE = 2, 15_000.0, 0.2, 3.0, 1_500.0, 0.8
 COLD_START_AFTER_MS, OBSERVED_MS, ANNOUNCEMENT_DELAY_MS = 8_000.0, 12_000.0, 300.0
 
 
@@ -151,7 +144,7 @@
         cold_ms=COLD_MS,
         cold_from=COLD_FROM,
         cold_overload_factor=OVERLOAD_FACTOR,
-        cold_window_ms=OVERLOAD_WINDOW_MS,
+        cold_window_ms=WINDOW_MS,
     )
     fleet = [Balancer(settings, seed) for seed in range(size)]
     start_ms, cold_start_ms = events.now_ms, events.now_ms + COLD_START_AFTER_MS
@@ -207,10 +200,8 @@
         highest_share = 0.0
         for i, time_ms in enumerate(server_times_ms):
             speed = min(COLD_FROM + (1 - COLD_FROM) * (time_ms - cold_start_ms) / COLD_MS, 1.0)
-            allowed_calls = OVERLOAD_FACTOR * speed * CORES / ATTEMPT_MS * OVERLOAD_WINDOW_MS
-            calls_in_window = sum(
-                time_ms - OVERLOAD_WINDOW_MS < other_ms for other_ms in server_times_ms[: i + 1]
-            )
+            allowed_calls = OVERLOAD_FACTOR * speed * CORES / ATTEMPT_MS * WINDOW_MS
+            calls_in_window = sum(time_ms - WINDOW_MS < other_ms for other_ms in server_times_ms[: i + 1])
             highest_share = max(
                 highest_share, calls_in_window / (allowed_calls + 2 * math.sqrt(allowed_calls) + 2)
             )
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -3,10 +3,10 @@
     python benchmarks/roll.py [--balancers N] [--calls-per-s X] [--seeds N] [--json FILE]
 
 Plays the scenario in simulated time. All balancers move to another discovery address within 2 s, and a twelfth of the
-nodes starts to leave every 1.5 s. Discovery processes a limited number of calls a second and turns away calls that
-would wait longer than 2 s. Prints for each seed how many sends, counted outside the balancers, came later than the grace
-period after a drain was announced: with calls that time out after 2 s, which is discovery's own limit for a waiting
-call, and with the current time-outs of the program.
+nodes starts to leave every 1.5 s. Discovery processes a limited number of calls a second and turns away those that
+would wait longer than 2 s. Prints for each seed how many sends, counted outside the balancers, came later than the
+grace period after a drain was announced: with calls that time out after 2 s, which is discovery's own limit for a
+waiting call, and with the current time-outs of the program.
 """
 
 from __future__ import annotations
