--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -38,7 +38,7 @@
 # ---- addresses ----------------------------------------------------------------------------------
 
 
-def split(text: str) -> tuple[str, int] | None:
+def split_host_port(text: str) -> tuple[str, int] | None:
     """Host and port of `host:port` or `[host]:port`; None if it is neither."""
     host, colon, port = text.rpartition(":")
     if not colon or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65_535:
@@ -60,7 +60,7 @@
 
 
 def _address(text: str, key: str, what: str) -> Iterator[Problem]:
-    pair = split(text)
+    pair = split_host_port(text)
     if pair is None:
         yield Problem(key, f"{text!r} is no {what}", "an IP address and a port, such as 10.0.0.5:8080")
     elif not is_address(pair[0]):
@@ -129,7 +129,7 @@
     seen: dict[tuple[str, int], str] = {}
     for i, application in enumerate(file.applications):
         key = f"applications[{i}].listen"
-        pair = split(application.listen)
+        pair = split_host_port(application.listen)
         if pair is None:
             yield Problem(key, f"{application.listen!r} is no address to listen on", "such as 127.0.0.1:7070")
             continue
@@ -251,20 +251,20 @@
 
 def _upstreams(application: Application, key: str) -> Iterator[Problem]:
     source, key = application.upstreams, f"{key}.upstreams"
-    listen = split(application.listen)
+    listen = split_host_port(application.listen)
     match source:
         case model.Static():
             for i, text in enumerate(source.addresses):
                 yield from _address(text, f"{key}.addresses", "upstream's address")
                 if text in source.addresses[:i]:
                     yield Problem(f"{key}.addresses", f"{text} is named twice", "each server once")
-                if listen is not None and split(text) == listen:
+                if listen is not None and split_host_port(text) == listen:
                     yield Problem(
                         f"{key}.addresses", f"{text} is this application's own listener", "its server"
                     )
         case model.Names():
             for i, text in enumerate(source.names):
-                pair = split(text)
+                pair = split_host_port(text)
                 if pair is None or not pair[1] or not _HOST.fullmatch(pair[0]):
                     text = f"{text!r} is no host name and port"
                     yield Problem(f"{key}.names", text, "such as render.internal:8080")
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -11,7 +11,7 @@
 
 from passpost.operator import model
 from passpost.operator.callers import value_of
-from passpost.operator.checks import is_address, split
+from passpost.operator.checks import is_address, split_host_port
 from passpost.operator.model import File
 from passpost.operator.reader import Problem
 
@@ -23,7 +23,7 @@
     """Listeners whose address is taken by somebody else, or is not this machine's."""
     found = []
     for i, application in enumerate(file.applications):
-        pair = split(application.listen)
+        pair = split_host_port(application.listen)
         if pair is None or not is_address(pair[0]) or not pair[1]:
             continue
         key = f"applications[{i}].listen"
@@ -68,7 +68,7 @@
         if isinstance(application.upstreams, model.Names)
         for text in application.upstreams.names
     ]
-    hosts = {pair[0] for _, text in wanted if (pair := split(text)) is not None}
+    hosts = {pair[0] for _, text in wanted if (pair := split_host_port(text)) is not None}
     if not hosts:
         return []
     pool = ThreadPoolExecutor(min(len(hosts), 32))
@@ -83,7 +83,7 @@
     return [
         Problem(key, f"{pair[0]!r} {reasons[pair[0]]}", "a name that resolves where the sidecar runs")
         for key, text in wanted
-        if (pair := split(text)) is not None and reasons[pair[0]]
+        if (pair := split_host_port(text)) is not None and reasons[pair[0]]
     ]
 
 
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -21,7 +21,7 @@
 from passpost.http1 import Answer
 from passpost.operator import sources
 from passpost.operator.callers import PlainCallers, longest_body
-from passpost.operator.checks import connections, findings, split
+from passpost.operator.checks import connections, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
 from passpost.operator.probe import SERVER
@@ -102,7 +102,7 @@
         )
         self.source = sources.make(application.upstreams, host)
         self.engine = self._engine(application)
-        address = split(application.listen)
+        address = split_host_port(application.listen)
         assert address is not None  # checked
         self.server = Server(
             self.engine,
--- a/passpost/operator/sources.py
+++ b/passpost/operator/sources.py
@@ -16,7 +16,7 @@
 from passpost.discovery import Discovery
 from passpost.host import HOST, Address, Host
 from passpost.operator import model
-from passpost.operator.checks import split
+from passpost.operator.checks import split_host_port
 from passpost.operator.membership import Membership, read_address, read_lines
 from umberworks.interface import ListUpdate
 
@@ -124,7 +124,7 @@
         await asyncio.gather(*(self._one(text) for text in self._source.names))
 
     async def _one(self, text: str) -> None:
-        pair = split(text)
+        pair = split_host_port(text)
         assert pair is not None  # checked
         name, port = pair
         try:
@@ -184,7 +184,7 @@
         case model.Watched():
             return FileSource(source, host)
         case model.Discovered():
-            address = split(source.address)
+            address = split_host_port(source.address)
             assert address is not None  # checked
             asked = source.mode == "ask"
             return Discovery(address, None, not asked, source.ask_within_ms / 1000, host.monotonic)
--- a/passpost/operator/writer.py
+++ b/passpost/operator/writer.py
@@ -14,7 +14,7 @@
 import merge3
 import msgspec
 
-from passpost.operator.checks import is_address, split
+from passpost.operator.checks import is_address, split_host_port
 from passpost.operator.description import Description, Request, Service
 from passpost.operator.model import Application, Class, Drain, File, Names, Part, Static, Tenant
 
@@ -26,7 +26,7 @@
 
 def build(description: Description) -> File:
     """The file that a description asks for."""
-    taken = {split(s.listen) for s in description.calls if s.listen}
+    taken = {split_host_port(s.listen) for s in description.calls if s.listen}
     port = FIRST_PORT
     applications = []
     for service in description.calls:
@@ -47,7 +47,7 @@
 
 
 def _application(service: Service, listen: str) -> Application:
-    pairs = [split(a) for a in service.at]
+    pairs = [split_host_port(a) for a in service.at]
     fixed = all(p is not None and is_address(p[0]) for p in pairs)
     requests = service.requests or (Request(name="any"),)
     return Application(
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -19,7 +19,7 @@
 
 from passpost.callers.listener import BACKLOG
 from passpost.host import HOST, Address, Host, Listener
-from passpost.operator.checks import connections, split
+from passpost.operator.checks import connections, split_host_port
 from passpost.operator.diff import difference
 from passpost.operator.membership import written
 from passpost.operator.model import File
@@ -128,7 +128,7 @@
         opened: dict[str, Listener] = {}
         try:
             for application in file.applications:
-                address = split(application.listen)
+                address = split_host_port(application.listen)
                 assert address is not None  # checked
                 name = written(address)
                 if name not in self._sockets:
--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -14,7 +14,7 @@
 import aiohttp
 import pytest
 
-from passpost.operator.checks import split
+from passpost.operator.checks import split_host_port
 from passpost.operator.model import Application, Class
 from passpost.operator.reader import load
 from passpost.rehearsal.speech import sample
@@ -79,7 +79,7 @@
         applications = on_free_ports(folder, path, stack)
         process = stack.enter_context(running(path))
         for application in applications:
-            address = split(application.listen)
+            address = split_host_port(application.listen)
             assert address is not None
             until_ready(address[1], process)
             by_library(address[1], application)
--- a/tests/operator/test_examples.py
+++ b/tests/operator/test_examples.py
@@ -7,7 +7,7 @@
 import pytest
 
 from passpost.cli import new
-from passpost.operator.checks import check, split
+from passpost.operator.checks import check, split_host_port
 from passpost.operator.model import Static
 from passpost.operator.reader import load
 from passpost.operator.writer import build, render
@@ -32,13 +32,13 @@
         for app in file.applications:
             assert isinstance(app.upstreams, Static)
             for address in app.upstreams.addresses:
-                pair = split(address)
+                pair = split_host_port(address)
                 assert pair is not None
                 upstreams.setdefault(app.name, []).append(Upstream())
                 rig.serve(pair, upstreams[app.name][-1])
         rig.carry(file)
         for app in file.applications:
-            pair = split(app.listen)
+            pair = split_host_port(app.listen)
             assert pair is not None
             for cls in app.classes:
                 for method in cls.methods:
--- a/tests/operator/test_writer.py
+++ b/tests/operator/test_writer.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from passpost.operator.checks import check, split
+from passpost.operator.checks import check, split_host_port
 from passpost.operator.description import Description
 from passpost.operator.model import File, Names
 from passpost.operator.reader import parse
@@ -129,12 +129,12 @@
 
     async def test(rig: Rig) -> None:
         for address in {a for app in file.applications for a in app.upstreams.addresses}:  # type: ignore[union-attr]
-            pair = split(address)
+            pair = split_host_port(address)
             assert pair is not None
             rig.serve(pair, Upstream())
         rig.carry(file)
         for app in file.applications:
-            pair = split(app.listen)
+            pair = split_host_port(app.listen)
             assert pair is not None
             for cls in app.classes:
                 target = cls.path.replace("/**", "/x/y").replace("/*", "/x")
