--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -50,7 +50,7 @@
     return (host, int(port)) if host else None
 
 
-def is_address(host: str) -> bool:
+def is_ip_address(host: str) -> bool:
     """Whether it is an IP address and no name."""
     try:
         ipaddress.ip_address(host)
@@ -63,7 +63,7 @@
     pair = split_host_port(text)
     if pair is None:
         yield Problem(key, f"{text!r} is no {what}", "an IP address and a port, such as 10.0.0.5:8080")
-    elif not is_address(pair[0]):
+    elif not is_ip_address(pair[0]):
         fix = (
             "names go under kind = 'names'"
             if what == "upstream's address"
@@ -134,7 +134,7 @@
             yield Problem(key, f"{application.listen!r} is no address to listen on", "such as 127.0.0.1:7070")
             continue
         host, port = pair
-        if not is_address(host):
+        if not is_ip_address(host):
             yield Problem(key, f"{host!r} is a name and no IP address", "an IP address of this machine")
             continue
         if 0 < port < FIRST_FREE_PORT:
@@ -268,7 +268,7 @@
                 if pair is None or not pair[1] or not _HOST.fullmatch(pair[0]):
                     text = f"{text!r} is no host name and port"
                     yield Problem(f"{key}.names", text, "such as render.internal:8080")
-                elif is_address(pair[0]):
+                elif is_ip_address(pair[0]):
                     yield Problem(
                         f"{key}.names", f"{pair[0]} is an address and no name", "kind = 'static'", True
                     )
--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -60,9 +60,9 @@
 
 def read_address(text: str, where: str = "") -> Address:
     """IP address and port; raises ValueError with a plain reason."""
-    from passpost.operator.checks import is_address, split_host_port
+    from passpost.operator.checks import is_ip_address, split_host_port
 
     pair = split_host_port(text)
-    if pair is None or not is_address(pair[0]) or not pair[1]:
+    if pair is None or not is_ip_address(pair[0]) or not pair[1]:
         raise ValueError(f"{where}{text[:80]!r} is no IP address and port")
     return pair
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -11,7 +11,7 @@
 
 from passpost.operator import model
 from passpost.operator.callers import value_of
-from passpost.operator.checks import is_address, split_host_port
+from passpost.operator.checks import is_ip_address, split_host_port
 from passpost.operator.model import File
 from passpost.operator.reader import Problem
 
@@ -24,7 +24,7 @@
     found = []
     for i, application in enumerate(file.applications):
         pair = split_host_port(application.listen)
-        if pair is None or not is_address(pair[0]) or not pair[1]:
+        if pair is None or not is_ip_address(pair[0]) or not pair[1]:
             continue
         key = f"applications[{i}].listen"
         family = socket.AF_INET6 if ":" in pair[0] else socket.AF_INET
--- a/passpost/operator/writer.py
+++ b/passpost/operator/writer.py
@@ -14,7 +14,7 @@
 import merge3
 import msgspec
 
-from passpost.operator.checks import is_address, split_host_port
+from passpost.operator.checks import is_ip_address, split_host_port
 from passpost.operator.description import Description, Request, Service
 from passpost.operator.model import Application, Class, Drain, File, Names, Part, Static, Tenant
 
@@ -48,7 +48,7 @@
 
 def _application(service: Service, listen: str) -> Application:
     pairs = [split_host_port(a) for a in service.at]
-    fixed = all(p is not None and is_address(p[0]) for p in pairs)
+    fixed = all(p is not None and is_ip_address(p[0]) for p in pairs)
     requests = service.requests or (Request(name="any"),)
     return Application(
         name=service.service,
