--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -82,7 +82,7 @@
     return reading.with_meaning(check(reading.file) if reading.file is not None else ())
 
 
-def connections(file: File) -> tuple[int, int]:
+def connection_limits(file: File) -> tuple[int, int]:
     """Callers' and upstreams' connections that the process may hold."""
     limits = file.limits
     callers = limits.connections or int(limits.descriptors * 0.55)
@@ -91,7 +91,7 @@
 
 def _process(file: File) -> Iterator[Problem]:
     limits, drain = file.limits, file.drain
-    callers, upstreams = connections(file)
+    callers, upstreams = connection_limits(file)
     needed = callers + upstreams + OTHER_DESCRIPTORS + len(file.applications)
     if needed > limits.descriptors and (limits.connections or limits.upstream_connections):
         key = "limits.connections" if limits.connections else "limits.upstream_connections"
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -21,7 +21,7 @@
 from passpost.http1 import Answer
 from passpost.operator import sources
 from passpost.operator.callers import PlainCallers, longest_body
-from passpost.operator.checks import connections, findings, split_host_port
+from passpost.operator.checks import connection_limits, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
 from passpost.operator.probe import SERVER
@@ -87,7 +87,7 @@
         self._members: dict[str, Member] = {}
         self._addresses: dict[str, Address] = {}
         self._older: list[Engine] = []  # that still have requests open
-        callers, upstreams = connections(file)
+        callers, upstreams = connection_limits(file)
         share = max(len(file.applications), 1)
         longest, kept = longest_body(file), file.limits.body_kb * 1024
         self.upstreams = Upstreams(
--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from passpost.host import HOST, Address, Host
-from passpost.operator.checks import connections, findings
+from passpost.operator.checks import connection_limits, findings
 from passpost.operator.model import Application, Discovered, File
 from passpost.operator.reader import UnreadableError, load
 from passpost.operator.routes import Routes
@@ -126,10 +126,12 @@
 def placed(file: File, script: Script, listen: Address, discovery: Address) -> File:
     """The file as one sidecar of the night runs it: one application, its own address, the night's list."""
     application = application_of(script, file)
-    callers, upstreams = connections(file)
+    callers, upstreams = connection_limits(file)
     share = len(file.applications)
     limits = msgspec.structs.replace(
-        file.limits, connections=max(callers // share, 1), upstream_connections=max(upstreams // share, 1)
+        file.limits,
+        connection_limits=max(callers // share, 1),
+        upstream_connections=max(upstreams // share, 1),
     )
     source = Discovered(
         address=f"{discovery[0]}:{discovery[1]}",
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -19,7 +19,7 @@
 
 from passpost.callers.listener import BACKLOG
 from passpost.host import HOST, Address, Host, Listener
-from passpost.operator.checks import connections, split_host_port
+from passpost.operator.checks import connection_limits, split_host_port
 from passpost.operator.diff import difference
 from passpost.operator.membership import written
 from passpost.operator.model import File
@@ -38,7 +38,7 @@
 
     Raises ValueError where a limit is too small to be divided.
     """
-    callers, upstreams = connections(file)
+    callers, upstreams = connection_limits(file)
     limits, share = file.limits, max(len(file.applications), 1)
     if limits.descriptors // count < LEAST_DESCRIPTORS or min(callers, upstreams) // count < share:
         raise ValueError(f"limits.descriptors: {limits.descriptors} are too few for {count} workers")
@@ -46,7 +46,7 @@
         limits,
         descriptors=limits.descriptors // count,
         memory_mb=max(limits.memory_mb // count, 1),
-        connections=callers // count,
+        connection_limits=callers // count,
         upstream_connections=upstreams // count,
     )
     applications = tuple(msgspec.structs.replace(a, balancers=a.balancers * count) for a in file.applications)
