--- a/passpost/operator/routes.py
+++ b/passpost/operator/routes.py
@@ -20,7 +20,7 @@
     return tuple(pattern.split("/")[1:])
 
 
-def fits(pattern: Sequence[str], path: Sequence[str]) -> bool:
+def matches(pattern: Sequence[str], path: Sequence[str]) -> bool:
     """Whether a path has a pattern's form."""
     if pattern and pattern[-1] == "**":
         fixed = pattern[:-1]
@@ -63,7 +63,7 @@
         """The class of a request; None if no class takes its path with this method."""
         parts = tuple(path.split("/")[1:])
         for pattern, cls in self._by_method.get(method, ()):
-            if fits(pattern, parts):
+            if matches(pattern, parts):
                 return cls
         # RFC 9110, 9.1: whoever takes GET takes HEAD. A class that names HEAD itself goes before.
         return self.find("GET", path) if method == "HEAD" else None
@@ -71,4 +71,4 @@
     def takes(self, path: str) -> bool:
         """Whether any method is taken at a path."""
         parts = tuple(path.split("/")[1:])
-        return any(fits(p, parts) for entries in self._by_method.values() for p, _ in entries)
+        return any(matches(p, parts) for entries in self._by_method.values() for p, _ in entries)
--- a/tests/operator/test_routes.py
+++ b/tests/operator/test_routes.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from passpost.operator.model import Class
-from passpost.operator.routes import Routes, covers, fits, meet, segments
+from passpost.operator.routes import Routes, covers, matches, meet, segments
 
 WORDS = ("a", "b")
 PATHS = [p for n in range(5) for p in product(WORDS, repeat=n)]
@@ -35,7 +35,7 @@
     ],
 )
 def test_patterns(pattern: str, path: str, fit: bool) -> None:
-    assert fits(segments(pattern), segments(path)) is fit
+    assert matches(segments(pattern), segments(path)) is fit
 
 
 def test_the_first_class_that_fits_has_the_request() -> None:
@@ -56,9 +56,9 @@
 @settings(max_examples=400, deadline=None)
 @given(patterns, patterns)
 def test_covering_and_meeting_are_what_the_paths_say(a: tuple[str, ...], b: tuple[str, ...]) -> None:
-    of_a, of_b = ({p for p in PATHS if fits(x, p)} for x in (a, b))
+    of_a, of_b = ({p for p in PATHS if matches(x, p)} for x in (a, b))
     # All segments but a and b behave as one more word, which only * and ** take.
-    other_a, other_b = ({p for p in product("abc", repeat=4) if fits(x, p)} for x in (a, b))
+    other_a, other_b = ({p for p in product("abc", repeat=4) if matches(x, p)} for x in (a, b))
     assert covers(a, b) == (of_b <= of_a and other_b <= other_a)
     assert meet(a, b) == bool(of_a & of_b or other_a & other_b)
     assert meet(a, b) == meet(b, a)
