--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -14,7 +14,7 @@
 from passpost.operator import model
 from passpost.operator.model import Application, Class, File
 from passpost.operator.reader import Problem, Reading
-from passpost.operator.routes import covers, meet, segments
+from passpost.operator.routes import covers, overlap, segments
 
 OTHER_DESCRIPTORS = (
     32  # listening sockets, discovery, the loop, files, and sockets that are closed but not gone
@@ -433,7 +433,7 @@
             first, second = segments(earlier.path), segments(later.path)
             if covers(first, second):
                 left -= shared
-            elif meet(first, second) and not covers(second, first):
+            elif overlap(first, second) and not covers(second, first):
                 text = f"{later.path!r} and {earlier.path!r} of {earlier.name!r} overlap, and neither holds the other"
                 yield Problem(at, text, "patterns that are apart, or one inside the other and above it")
         if not left:
--- a/passpost/operator/routes.py
+++ b/passpost/operator/routes.py
@@ -41,13 +41,13 @@
     return len(general) == len(special) and all(g in ("*", s) for g, s in zip(general, special, strict=True))
 
 
-def meet(a: Sequence[str], b: Sequence[str]) -> bool:
+def overlap(a: Sequence[str], b: Sequence[str]) -> bool:
     """Whether some path fits both."""
     if not a or not b:
         return all(x == "**" for x in (*a, *b))
     if "**" in (a[0], b[0]):
         return True
-    return (a[0] == b[0] or "*" in (a[0], b[0])) and meet(a[1:], b[1:])
+    return (a[0] == b[0] or "*" in (a[0], b[0])) and overlap(a[1:], b[1:])
 
 
 class Routes:
--- a/tests/operator/test_routes.py
+++ b/tests/operator/test_routes.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from passpost.operator.model import Class
-from passpost.operator.routes import Routes, covers, matches, meet, segments
+from passpost.operator.routes import Routes, covers, matches, overlap, segments
 
 WORDS = ("a", "b")
 PATHS = [p for n in range(5) for p in product(WORDS, repeat=n)]
@@ -60,5 +60,5 @@
     # All segments but a and b behave as one more word, which only * and ** take.
     other_a, other_b = ({p for p in product("abc", repeat=4) if matches(x, p)} for x in (a, b))
     assert covers(a, b) == (of_b <= of_a and other_b <= other_a)
-    assert meet(a, b) == bool(of_a & of_b or other_a & other_b)
-    assert meet(a, b) == meet(b, a)
+    assert overlap(a, b) == bool(of_a & of_b or other_a & other_b)
+    assert overlap(a, b) == overlap(b, a)
