--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -54,7 +54,7 @@
         text = path.decode("ascii")
         cls = self._routes.find(method.decode("latin-1"), text)
         if cls is None:
-            if self._routes.takes(text):
+            if self._routes.accepts_path(text):
                 raise BadRequestError(405, "no class takes this method here")
             raise BadRequestError(404, "no class takes this path")
         if cls.key_header is not None:
--- a/passpost/operator/routes.py
+++ b/passpost/operator/routes.py
@@ -68,7 +68,7 @@
         # RFC 9110, 9.1: whoever takes GET takes HEAD. A class that names HEAD itself goes before.
         return self.find("GET", path) if method == "HEAD" else None
 
-    def takes(self, path: str) -> bool:
+    def accepts_path(self, path: str) -> bool:
         """Whether any method is taken at a path."""
         parts = tuple(path.split("/")[1:])
         return any(matches(p, parts) for entries in self._by_method.values() for p, _ in entries)
--- a/tests/operator/test_routes.py
+++ b/tests/operator/test_routes.py
@@ -50,7 +50,7 @@
 
     assert [name("GET", p) for p in ("/x/1", "/x/2", "/x/2/3", "/")] == ["one", "any", "all", "all"]
     assert name("PUT", "/x/1") == "any" and name("PUT", "/y") is None and name("POST", "/x/1") is None
-    assert routes.takes("/y")
+    assert routes.accepts_path("/y")
 
 
 @settings(max_examples=400, deadline=None)
