--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -58,7 +58,7 @@
     return reading.file
 
 
-def outcome(answer: Answer) -> Outcome:
+def classify_answer(answer: Answer) -> Outcome:
     """What an ordinary server's answer means.
 
     What it says of the request itself (2xx, 3xx, 4xx) is its answer. 5xx is a failure that may have run, and so
@@ -95,7 +95,7 @@
             application.idle_s,
             upstreams // share,
             host,
-            outcome,
+            classify_answer,
             longest,
             kept,
             TOO_LONG,
