--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -71,7 +71,7 @@
     return Outcome.ERROR if answer.status >= 500 or answer.status == 429 else Outcome.SERVED
 
 
-class Carried:
+class ServedApplication:
     """One application: its listener, its connections, and the engine that takes its requests now."""
 
     def __init__(
@@ -198,11 +198,13 @@
         self.file, self._environment, self._host, self._module = file, environment, host, module
         self._draw = draw
         self.part: Callable[[File], File] = lambda file: file
-        self.carried: dict[str, Carried] = {}
+        self.carried: dict[str, ServedApplication] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         try:
             for application in file.applications:
-                self.carried[application.name] = Carried(application, file, environment, host, module, draw)
+                self.carried[application.name] = ServedApplication(
+                    application, file, environment, host, module, draw
+                )
         except Exception:
             for carried in self.carried.values():
                 carried.server.close()
@@ -222,13 +224,13 @@
         # Pools and listeners are as large as they were made: limits wait for a restart, whatever else changes.
         file = msgspec.structs.replace(file, limits=self.file.limits)
         wanted = {a.name: a for a in file.applications}
-        added: dict[str, Carried] = {}
+        added: dict[str, ServedApplication] = {}
         swaps: list[Callable[[], None]] = []
         try:
             for name, application in wanted.items():
                 known = self.carried.get(name)
                 if known is None:
-                    added[name] = Carried(
+                    added[name] = ServedApplication(
                         application, file, self._environment, self._host, self._module, self._draw
                     )
                 elif application != known.application or file.health != self.file.health:
