--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -198,21 +198,21 @@
         self.file, self._environment, self._host, self._module = file, environment, host, module
         self._draw = draw
         self.part: Callable[[File], File] = lambda file: file
-        self.carried: dict[str, ServedApplication] = {}
+        self.served: dict[str, ServedApplication] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         try:
             for application in file.applications:
-                self.carried[application.name] = ServedApplication(
+                self.served[application.name] = ServedApplication(
                     application, file, environment, host, module, draw
                 )
         except Exception:
-            for carried in self.carried.values():
+            for carried in self.served.values():
                 carried.server.close()
             raise
 
     def start(self) -> None:
         """Serve from now on."""
-        for carried in self.carried.values():
+        for carried in self.served.values():
             carried.start()
 
     def reload(self, file: File) -> list[Change]:
@@ -228,7 +228,7 @@
         swaps: list[Callable[[], None]] = []
         try:
             for name, application in wanted.items():
-                known = self.carried.get(name)
+                known = self.served.get(name)
                 if known is None:
                     added[name] = ServedApplication(
                         application, file, self._environment, self._host, self._module, self._draw
@@ -241,19 +241,19 @@
             raise
         for swap in swaps:
             swap()
-        for name in [n for n in self.carried if n not in wanted]:
-            task = asyncio.get_running_loop().create_task(self.carried.pop(name).stop(self.file))
+        for name in [n for n in self.served if n not in wanted]:
+            task = asyncio.get_running_loop().create_task(self.served.pop(name).stop(self.file))
             self._leaving.add(task)
             task.add_done_callback(self._leaving.discard)
         for name, carried in added.items():
-            self.carried[name] = carried
+            self.served[name] = carried
             carried.start()
         self.file = file
         return changes
 
     async def stop(self) -> None:
         """Answer what was taken, then close everything."""
-        await asyncio.gather(*(c.stop(self.file) for c in self.carried.values()), *self._leaving)
+        await asyncio.gather(*(c.stop(self.file) for c in self.served.values()), *self._leaving)
 
 
 class Beside:
