--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -197,7 +197,7 @@
     ) -> None:
         self.file, self._environment, self._host, self._module = file, environment, host, module
         self._draw = draw
-        self.part: Callable[[File], File] = lambda file: file
+        self.process_share: Callable[[File], File] = lambda file: file
         self.served: dict[str, ServedApplication] = {}
         self._leaving: set[asyncio.Task[None]] = set()
         try:
@@ -288,7 +288,7 @@
     file = part(read(path))
     raise_descriptors(file.limits.descriptors)
     sidecar = Sidecar(file, os.environ, host)
-    sidecar.part = part
+    sidecar.process_share = part
     sidecar.start()
     for application in file.applications:
         log.info("%s serves %s on %s", file.name, application.name, application.listen)
