--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -36,7 +36,7 @@
     except ImportError as error:
         raise ConfigError(f"--operator needs {error.name}: pip install 'passpost[cli]'") from None
     try:
-        return sidecar.Beside(path)
+        return sidecar.EmbeddedSidecar(path)
     except (UnreadableError, sidecar.UnusableError, ValueError) as error:
         raise ConfigError(str(error)) from None
 
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -256,7 +256,7 @@
         await asyncio.gather(*(c.stop(self.file) for c in self.served.values()), *self._leaving)
 
 
-class Beside:
+class EmbeddedSidecar:
     """A sidecar beside the platform's balancer, in the same process: `python -m passpost --operator FILE`."""
 
     def __init__(self, path: str) -> None:
