--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -303,7 +303,7 @@
 )  # why a file read again may not be taken over
 
 
-def stays(path: str, error: Exception) -> None:
+def log_rejected_reload(path: str, error: Exception) -> None:
     """Say why a file that was read again is not taken over."""
     if isinstance(error, UnusableError):
         for problem in error.problems:
@@ -318,7 +318,7 @@
     try:
         changes = sidecar.reload(sidecar.part(read(path)))
     except REFUSALS as error:
-        stays(path, error)
+        log_rejected_reload(path, error)
     else:
         for change in changes:
             log.info("%s: %s%s", change.key, change.text, " (waits for a restart)" if change.restart else "")
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -23,7 +23,7 @@
 from passpost.operator.diff import difference
 from passpost.operator.membership import written
 from passpost.operator.model import File
-from passpost.operator.sidecar import END_S, REFUSALS, raise_descriptors, read, stays
+from passpost.operator.sidecar import END_S, REFUSALS, log_rejected_reload, raise_descriptors, read
 from passpost.signals import Signals
 from passpost.workers.plan import Action, End, Plan, Start, Tell
 
@@ -157,7 +157,7 @@
             changes = difference(self._file, file)
             self._listen(file)
         except REFUSALS as error:
-            stays(self._path, error)
+            log_rejected_reload(self._path, error)
             return
         listens = {a.listen for a in file.applications}
         renews = listens != {a.listen for a in self._file.applications} or any(c.restart for c in changes)
