--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -295,7 +295,7 @@
     return sidecar
 
 
-REFUSALS = (
+RELOAD_ERRORS = (
     UnusableError,
     UnreadableError,
     OSError,
@@ -317,7 +317,7 @@
     """Read the file again and take over what can be; a file that can't be used changes nothing."""
     try:
         changes = sidecar.reload(sidecar.part(read(path)))
-    except REFUSALS as error:
+    except RELOAD_ERRORS as error:
         log_rejected_reload(path, error)
     else:
         for change in changes:
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -23,7 +23,7 @@
 from passpost.operator.diff import difference
 from passpost.operator.membership import written
 from passpost.operator.model import File
-from passpost.operator.sidecar import END_S, REFUSALS, log_rejected_reload, raise_descriptors, read
+from passpost.operator.sidecar import END_S, RELOAD_ERRORS, log_rejected_reload, raise_descriptors, read
 from passpost.signals import Signals
 from passpost.workers.plan import Action, End, Plan, Start, Tell
 
@@ -156,7 +156,7 @@
             divided(file, self._count)
             changes = difference(self._file, file)
             self._listen(file)
-        except REFUSALS as error:
+        except RELOAD_ERRORS as error:
             log_rejected_reload(self._path, error)
             return
         listens = {a.listen for a in file.applications}
