--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -34,7 +34,7 @@
 log = logging.getLogger("passpost")
 
 ANSWER_GRACE_S = 0.016  # a time-out cut to the deadline may come this much late, as on the platform
-END_S = 0.5  # between the last deadline and the end
+SHUTDOWN_MARGIN_S = 0.5  # between the last deadline and the end
 TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
 
 
@@ -179,7 +179,7 @@
     async def stop(self, file: File) -> None:
         """Answer what was taken, then close everything."""
         longest = max(c.deadline_ms for c in self.application.classes) / 1000
-        await self.server.drain(file.drain.serve_s + longest + END_S, longest + END_S)
+        await self.server.drain(file.drain.serve_s + longest + SHUTDOWN_MARGIN_S, longest + SHUTDOWN_MARGIN_S)
         self.source.stop()
         self.upstreams.stop()
 
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -23,7 +23,13 @@
 from passpost.operator.diff import difference
 from passpost.operator.membership import written
 from passpost.operator.model import File
-from passpost.operator.sidecar import END_S, RELOAD_ERRORS, log_rejected_reload, raise_descriptors, read
+from passpost.operator.sidecar import (
+    RELOAD_ERRORS,
+    SHUTDOWN_MARGIN_S,
+    log_rejected_reload,
+    raise_descriptors,
+    read,
+)
 from passpost.signals import Signals
 from passpost.workers.plan import Action, End, Plan, Start, Tell
 
@@ -56,7 +62,7 @@
 def times(file: File) -> tuple[float, float]:
     """The time until the kill, and how long one worker may take to drain, in seconds."""
     longest = max(c.deadline_ms for a in file.applications for c in a.classes) / 1000
-    return file.drain.kill_after_s, file.drain.serve_s + longest + END_S
+    return file.drain.kill_after_s, file.drain.serve_s + longest + SHUTDOWN_MARGIN_S
 
 
 class PassedHost(Host):
