--- a/passpost/cli/diff.py
+++ b/passpost/cli/diff.py
@@ -11,7 +11,7 @@
 from passpost.operator.diff import difference
 from passpost.operator.reader import UnreadableError
 from passpost.operator.sidecar import UnusableError as Refused
-from passpost.operator.sidecar import read
+from passpost.operator.sidecar import load_valid_file
 
 
 @click.command(name="diff")
@@ -24,7 +24,7 @@
     Exit status: 0 told (also when nothing differs), 2 a file that can't be used.
     """
     try:
-        changes = difference(read(a), read(b))
+        changes = difference(load_valid_file(a), load_valid_file(b))
     except (UnreadableError, Refused) as error:
         raise UnusableError(str(error)) from None
     if as_json:
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -46,7 +46,7 @@
         self.path, self.problems = path, problems
 
 
-def read(path: str) -> File:
+def load_valid_file(path: str) -> File:
     """A file that is fit to run; raises UnreadableError or UnusableError."""
     reading = load(path)
     found = findings(reading)
@@ -285,7 +285,7 @@
 
     `part` gives what this process has of a file, now and when it is read again.
     """
-    file = part(read(path))
+    file = part(load_valid_file(path))
     raise_descriptors(file.limits.descriptors)
     sidecar = Sidecar(file, os.environ, host)
     sidecar.process_share = part
@@ -316,7 +316,7 @@
 def reload(sidecar: Sidecar, path: str) -> None:
     """Read the file again and take over what can be; a file that can't be used changes nothing."""
     try:
-        changes = sidecar.reload(sidecar.part(read(path)))
+        changes = sidecar.reload(sidecar.part(load_valid_file(path)))
     except RELOAD_ERRORS as error:
         log_rejected_reload(path, error)
     else:
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -26,9 +26,9 @@
 from passpost.operator.sidecar import (
     RELOAD_ERRORS,
     SHUTDOWN_MARGIN_S,
+    load_valid_file,
     log_rejected_reload,
     raise_descriptors,
-    read,
 )
 from passpost.signals import Signals
 from passpost.workers.plan import Action, End, Plan, Start, Tell
@@ -118,7 +118,7 @@
     def __init__(self, path: str, count: int) -> None:
         """Raises UnreadableError, UnusableError, ValueError or OSError, as a start without workers does."""
         self._path, self._count = path, count
-        self._file = read(path)
+        self._file = load_valid_file(path)
         divided(self._file, count)
         raise_descriptors(self._file.limits.descriptors)
         self._sockets: dict[str, Listener] = {}
@@ -158,7 +158,7 @@
     def reload(self) -> None:
         """Read the file again: workers take it over as they run, or are renewed in turn; or nothing changes."""
         try:
-            file = read(self._path)
+            file = load_valid_file(self._path)
             divided(file, self._count)
             changes = difference(self._file, file)
             self._listen(file)
