--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -269,7 +269,7 @@
         await self._sidecar.stop()
 
 
-def raise_descriptors(wanted: int) -> None:
+def raise_descriptor_limit(wanted: int) -> None:
     """Let the process have so many descriptors; OSError if the machine does not."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if wanted > soft:
@@ -286,7 +286,7 @@
     `part` gives what this process has of a file, now and when it is read again.
     """
     file = part(load_valid_file(path))
-    raise_descriptors(file.limits.descriptors)
+    raise_descriptor_limit(file.limits.descriptors)
     sidecar = Sidecar(file, os.environ, host)
     sidecar.process_share = part
     sidecar.start()
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -28,7 +28,7 @@
     SHUTDOWN_MARGIN_S,
     load_valid_file,
     log_rejected_reload,
-    raise_descriptors,
+    raise_descriptor_limit,
 )
 from passpost.signals import Signals
 from passpost.workers.plan import Action, End, Plan, Start, Tell
@@ -120,7 +120,7 @@
         self._path, self._count = path, count
         self._file = load_valid_file(path)
         divided(self._file, count)
-        raise_descriptors(self._file.limits.descriptors)
+        raise_descriptor_limit(self._file.limits.descriptors)
         self._sockets: dict[str, Listener] = {}
         self._listen(self._file)
         self._plan = Plan(count, *times(self._file))
