--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -37,7 +37,7 @@
         raise ConfigError(f"--operator needs {error.name}: pip install 'passpost[cli]'") from None
     try:
         return sidecar.EmbeddedSidecar(path)
-    except (UnreadableError, sidecar.UnusableError, ValueError) as error:
+    except (UnreadableError, sidecar.InvalidFileError, ValueError) as error:
         raise ConfigError(str(error)) from None
 
 
--- a/passpost/cli/diff.py
+++ b/passpost/cli/diff.py
@@ -10,7 +10,7 @@
 from passpost.cli.command import UnusableError
 from passpost.operator.diff import difference
 from passpost.operator.reader import UnreadableError
-from passpost.operator.sidecar import UnusableError as Refused
+from passpost.operator.sidecar import InvalidFileError as Refused
 from passpost.operator.sidecar import load_valid_file
 
 
--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -46,7 +46,7 @@
         uvloop.run(serve(file))
     except UnreadableError as error:
         raise UnusableError(str(error)) from None
-    except sidecar.UnusableError as error:
+    except sidecar.InvalidFileError as error:
         for problem in error.problems:
             click.echo(sentence(file, problem), err=True)
         raise UnusableError(str(error)) from None
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -38,7 +38,7 @@
 TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
 
 
-class UnusableError(Exception):
+class InvalidFileError(Exception):
     """A file that can't be run; `problems` has all reasons, each with its line."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
@@ -52,7 +52,7 @@
     found = findings(reading)
     errors = [p for p in found if not p.warning]
     if errors or reading.file is None:
-        raise UnusableError(path, errors)
+        raise InvalidFileError(path, errors)
     for problem in found:
         log.warning("%s:%d: %s: %s", path, problem.line, problem.key, problem.text)
     return reading.file
@@ -296,7 +296,7 @@
 
 
 RELOAD_ERRORS = (
-    UnusableError,
+    InvalidFileError,
     UnreadableError,
     OSError,
     ValueError,
@@ -305,7 +305,7 @@
 
 def log_rejected_reload(path: str, error: Exception) -> None:
     """Say why a file that was read again is not taken over."""
-    if isinstance(error, UnusableError):
+    if isinstance(error, InvalidFileError):
         for problem in error.problems:
             log.error("%s:%d: %s: %s", path, problem.line, problem.key, problem.text)
         log.error("the old configuration stays")
