--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -13,7 +13,7 @@
 from umberworks.interface import ListKind, ListUpdate, Member
 
 
-def written(address: Address) -> str:
+def format_address(address: Address) -> str:
     """An address as files write it: the id of its upstream."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
@@ -44,8 +44,8 @@
         fresh = unix_ms if self._listed else 0.0
         self._since = {a: self._since.get(a, fresh) for a in known}
         self._listed = self._listed or bool(known)
-        members = tuple(Member(written(a), up_since_ms=since) for a, since in self._since.items())
-        return ListUpdate(ListKind.WHOLE, members), {written(a): a for a in known}
+        members = tuple(Member(format_address(a), up_since_ms=since) for a, since in self._since.items())
+        return ListUpdate(ListKind.WHOLE, members), {format_address(a): a for a in known}
 
 
 def read_lines(text: str) -> list[Address]:
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -21,7 +21,7 @@
 from passpost.host import HOST, Address, Host, Listener
 from passpost.operator.checks import connection_limits, split_host_port
 from passpost.operator.diff import difference
-from passpost.operator.membership import written
+from passpost.operator.membership import format_address
 from passpost.operator.model import File
 from passpost.operator.sidecar import (
     RELOAD_ERRORS,
@@ -75,7 +75,7 @@
 
     def listen(self, address: Address, backlog: int) -> Listener:
         """The parent's socket for this address; OSError if it passed none."""
-        name = written(address)
+        name = format_address(address)
         if name not in self._descriptors:
             raise OSError(f"no listening socket for {name} was passed")
         return socket.socket(fileno=os.dup(self._descriptors[name]))
@@ -136,7 +136,7 @@
             for application in file.applications:
                 address = split_host_port(application.listen)
                 assert address is not None  # checked
-                name = written(address)
+                name = format_address(address)
                 if name not in self._sockets:
                     opened[name] = HOST.listen(address, BACKLOG)
         except OSError:
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -14,7 +14,7 @@
 
 from passpost.host import Address, Host
 from passpost.operator import model
-from passpost.operator.membership import Membership, read_lines, written
+from passpost.operator.membership import Membership, format_address, read_lines
 from passpost.operator.sources import FileSource, NamesSource, StaticSource
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost
@@ -29,7 +29,7 @@
     def __call__(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
         assert update.kind is ListKind.WHOLE
         assert [m.server for m in update.members] == list(addresses)
-        assert all(written(a) == name for name, a in addresses.items())
+        assert all(format_address(a) == name for name, a in addresses.items())
         self.lists.append(list(addresses))
         self.updates.append(update)
 
