--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -27,7 +27,7 @@
         self._since: dict[Address, float] = {}
         self._listed = False
 
-    def learn(self, source: str, addresses: Iterable[Address]) -> None:
+    def set_addresses(self, source: str, addresses: Iterable[Address]) -> None:
         """A source (a name, a file) has told its addresses; an empty answer is kept out, as it may be a fault."""
         if found := tuple(sorted(set(addresses))):
             self._by_source[source] = found
--- a/passpost/operator/sources.py
+++ b/passpost/operator/sources.py
@@ -105,7 +105,7 @@
 
     def __init__(self, source: model.Static, host: Host = HOST) -> None:
         super().__init__(host)
-        self._known.learn("static", map(read_address, source.addresses))
+        self._known.set_addresses("static", map(read_address, source.addresses))
 
     def start(self, tell: Tell) -> None:
         self._tell = tell
@@ -140,7 +140,7 @@
             self._note(text, "resolves to nothing")
             return
         self._note(text, None)
-        self._known.learn(text, [(address, port) for address in found])
+        self._known.set_addresses(text, [(address, port) for address in found])
         self._publish()  # a slow name must not keep back what this one told
 
 
@@ -171,7 +171,7 @@
             return
         self._stamp = stamp
         self._note(self._path, None)
-        self._known.learn("file", found)
+        self._known.set_addresses("file", found)
 
 
 def make(source: model.Upstreams, host: Host = HOST) -> Source:
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -180,7 +180,7 @@
 def test_the_list_is_the_union_of_what_was_last_known_of_each(steps: list[tuple[str, list[Address]]]) -> None:
     known, wanted, last = Membership(), dict[str, set[Address]](), None
     for now, (source, found) in enumerate(steps, 1):
-        known.learn(source, found)
+        known.set_addresses(source, found)
         if found:
             wanted[source] = set(found)
         union = sorted(set().union(*wanted.values()))
