--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -48,7 +48,7 @@
         return ListUpdate(ListKind.WHOLE, members), {format_address(a): a for a in known}
 
 
-def read_lines(text: str) -> list[Address]:
+def parse_address_list(text: str) -> list[Address]:
     """Addresses, one a line; # begins a comment. Raises ValueError with the line that is none."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
--- a/passpost/operator/sources.py
+++ b/passpost/operator/sources.py
@@ -17,7 +17,7 @@
 from passpost.host import HOST, Address, Host
 from passpost.operator import model
 from passpost.operator.checks import split_host_port
-from passpost.operator.membership import Membership, read_address, read_lines
+from passpost.operator.membership import Membership, parse_address_list, read_address
 from umberworks.interface import ListUpdate
 
 log = logging.getLogger(__name__)
@@ -162,7 +162,7 @@
                 text = file.read(MAX_FILE + 1)
             if len(text) > MAX_FILE:
                 raise ValueError(f"over {MAX_FILE:,} characters")
-            found = read_lines(text)
+            found = parse_address_list(text)
             if not found:
                 raise ValueError("holds no address")
         except (OSError, ValueError) as error:
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -14,7 +14,7 @@
 
 from passpost.host import Address, Host
 from passpost.operator import model
-from passpost.operator.membership import Membership, format_address, read_lines
+from passpost.operator.membership import Membership, format_address, parse_address_list
 from passpost.operator.sources import FileSource, NamesSource, StaticSource
 from passpost.rehearsal.loop import SimLoop
 from passpost.rehearsal.network import Network, SimHost
@@ -169,7 +169,7 @@
 
 def test_lines_that_are_no_address_are_named() -> None:
     with pytest.raises(ValueError, match="line 3: 'x' is no IP address and port"):
-        read_lines("10.0.0.1:80\n#\nx")
+        parse_address_list("10.0.0.1:80\n#\nx")
 
 
 addresses = st.tuples(st.sampled_from(["10.0.0.1", "10.0.0.2", "::1"]), st.integers(1, 3))
