--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -54,11 +54,11 @@
     for number, line in enumerate(text.splitlines(), 1):
         line = line.partition("#")[0].strip()
         if line:
-            found.append(read_address(line, f"line {number}: "))
+            found.append(parse_address(line, f"line {number}: "))
     return found
 
 
-def read_address(text: str, where: str = "") -> Address:
+def parse_address(text: str, where: str = "") -> Address:
     """IP address and port; raises ValueError with a plain reason."""
     from passpost.operator.checks import is_ip_address, split_host_port
 
--- a/passpost/operator/sources.py
+++ b/passpost/operator/sources.py
@@ -17,7 +17,7 @@
 from passpost.host import HOST, Address, Host
 from passpost.operator import model
 from passpost.operator.checks import split_host_port
-from passpost.operator.membership import Membership, parse_address_list, read_address
+from passpost.operator.membership import Membership, parse_address, parse_address_list
 from umberworks.interface import ListUpdate
 
 log = logging.getLogger(__name__)
@@ -105,7 +105,7 @@
 
     def __init__(self, source: model.Static, host: Host = HOST) -> None:
         super().__init__(host)
-        self._known.set_addresses("static", map(read_address, source.addresses))
+        self._known.set_addresses("static", map(parse_address, source.addresses))
 
     def start(self, tell: Tell) -> None:
         self._tell = tell
