--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -100,7 +100,7 @@
             kept,
             TOO_LONG,
         )
-        self.source = sources.make(application.upstreams, host)
+        self.source = sources.make_source(application.upstreams, host)
         self.engine = self._engine(application)
         address = split_host_port(application.listen)
         assert address is not None  # checked
@@ -158,7 +158,7 @@
         callers = PlainCallers(application, file, f"{self._draw(32):08x}", environment)
         source = None
         if application.upstreams != self.application.upstreams:
-            source = sources.make(application.upstreams, self._host)
+            source = sources.make_source(application.upstreams, self._host)
 
         def take_over() -> None:
             self.application = application
--- a/passpost/operator/sources.py
+++ b/passpost/operator/sources.py
@@ -174,7 +174,7 @@
         self._known.set_addresses("file", found)
 
 
-def make(source: model.Upstreams, host: Host = HOST) -> Source:
+def make_source(source: model.Upstreams, host: Host = HOST) -> Source:
     """The source that a section of the file describes."""
     match source:
         case model.Static():
