--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -25,7 +25,7 @@
     ) -> None:
         self._routes = Routes(application.classes)
         self._ready = file.health.path.encode()
-        self._max_body = longest_body(file)
+        self._max_body = max_body_bytes(file)
         identity = application.identity
         self._id = identity.id_header.encode()
         self._tenant = identity.tenant_header.lower().encode()
@@ -77,7 +77,7 @@
         return Call(cls.name, own, tenant, remaining, method, target, passed_on, self._deadline_name, idle_s)
 
 
-def longest_body(file: File) -> int:
+def max_body_bytes(file: File) -> int:
     """How many bytes a body may have."""
     return file.limits.body_mb * 1024 * 1024
 
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -20,7 +20,7 @@
 from passpost.host import HOST, Address, Host
 from passpost.http1 import Answer
 from passpost.operator import sources
-from passpost.operator.callers import PlainCallers, longest_body
+from passpost.operator.callers import PlainCallers, max_body_bytes
 from passpost.operator.checks import connection_limits, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
@@ -89,7 +89,7 @@
         self._older: list[Engine] = []  # that still have requests open
         callers, upstreams = connection_limits(file)
         share = max(len(file.applications), 1)
-        longest, kept = longest_body(file), file.limits.body_kb * 1024
+        longest, kept = max_body_bytes(file), file.limits.body_kb * 1024
         self.upstreams = Upstreams(
             application.connect_ms / 1000,
             application.idle_s,
