--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -37,7 +37,7 @@
         self._run = f"{application.name}-{run}"
         self._count = itertools.count(1)
         self._added: Headers = [
-            (name.encode(), value_of(value, environment).encode())
+            (name.encode(), resolve_header_value(value, environment).encode())
             for name, value in application.add_headers.items()
         ]
         self._dropped = HOP_BY_HOP | {self._deadline, *(name.lower() for name, _ in self._added)}
@@ -82,7 +82,7 @@
     return file.limits.body_mb * 1024 * 1024
 
 
-def value_of(value: str, environment: Mapping[str, str]) -> str:
+def resolve_header_value(value: str, environment: Mapping[str, str]) -> str:
     """A header's value; `env:NAME` is read from the environment; ValueError where it is not set."""
     if not value.startswith("env:"):
         return value
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -10,7 +10,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from passpost.operator import model
-from passpost.operator.callers import value_of
+from passpost.operator.callers import resolve_header_value
 from passpost.operator.checks import is_ip_address, split_host_port
 from passpost.operator.model import File
 from passpost.operator.reader import Problem
@@ -114,7 +114,7 @@
     for i, application in enumerate(file.applications):
         for name, value in application.add_headers.items():
             try:
-                value_of(value, environment)
+                resolve_header_value(value, environment)
             except ValueError as error:
                 found.append(
                     Problem(f"applications[{i}].add_headers.{name}", str(error), "set it", warning=True)
