--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -17,7 +17,7 @@
 from passpost.validation import NUMBER, SINGLE, TOKEN, BadRequestError, Call, check_message, origin_form
 
 
-class PlainCallers:
+class RequestClassifier:
     """Takes the place of `passpost.validation.check` for one application of the file."""
 
     def __init__(
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -20,7 +20,7 @@
 from passpost.host import HOST, Address, Host
 from passpost.http1 import Answer
 from passpost.operator import sources
-from passpost.operator.callers import PlainCallers, max_body_bytes
+from passpost.operator.callers import RequestClassifier, max_body_bytes
 from passpost.operator.checks import connection_limits, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
@@ -109,7 +109,7 @@
             address,
             callers // share,
             host,
-            PlainCallers(application, file, f"{draw(32):08x}", environment),
+            RequestClassifier(application, file, f"{draw(32):08x}", environment),
             longest,
             f"{SERVER}{application.name}".encode(),
             kept,
@@ -155,7 +155,7 @@
     ) -> Callable[[], None]:
         """Build what a changed application needs; the result takes it over, and can't fail."""
         engine = self._engine(application)
-        callers = PlainCallers(application, file, f"{self._draw(32):08x}", environment)
+        callers = RequestClassifier(application, file, f"{self._draw(32):08x}", environment)
         source = None
         if application.upstreams != self.application.upstreams:
             source = sources.make_source(application.upstreams, self._host)
