--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -16,7 +16,7 @@
 from passpost.operator.reader import Problem
 
 ASK_S = 0.5  # for a passpost that may hold the port
-SERVER = "passpost/"  # how a sidecar names itself where it is asked whether it is ready
+SERVER_HEADER_PREFIX = "passpost/"  # how a sidecar names itself where it is asked whether it is ready
 
 
 def ports(file: File) -> list[Problem]:
@@ -57,7 +57,7 @@
         return ""
     finally:
         connection.close()
-    return server.removeprefix(SERVER) if server.startswith(SERVER) else ""
+    return server.removeprefix(SERVER_HEADER_PREFIX) if server.startswith(SERVER_HEADER_PREFIX) else ""
 
 
 def names(file: File, timeout_s: float = 10.0) -> list[Problem]:
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -24,7 +24,7 @@
 from passpost.operator.checks import connection_limits, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
-from passpost.operator.probe import SERVER
+from passpost.operator.probe import SERVER_HEADER_PREFIX
 from passpost.operator.reader import Problem, UnreadableError, load
 from passpost.operator.settings import settings
 from passpost.upstreams.pool import Upstreams
@@ -111,7 +111,7 @@
             host,
             RequestClassifier(application, file, f"{draw(32):08x}", environment),
             longest,
-            f"{SERVER}{application.name}".encode(),
+            f"{SERVER_HEADER_PREFIX}{application.name}".encode(),
             kept,
         )
 
