--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -33,7 +33,7 @@
                 pass
         except OSError as error:
             if error.errno == errno.EADDRINUSE:
-                holder = who_holds(pair, file.health.path)
+                holder = application_at(pair, file.health.path)
                 if holder == application.name:
                     continue  # the sidecar that runs by this file
                 text = f"{application.listen} is taken" + (f" by the sidecar of {holder!r}" if holder else "")
@@ -47,7 +47,7 @@
     return found
 
 
-def who_holds(address: tuple[str, int], path: str) -> str:
+def application_at(address: tuple[str, int], path: str) -> str:
     """The application of the sidecar that listens there; empty if it is none."""
     connection = http.client.HTTPConnection(*address, timeout=ASK_S)
     try:
