--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -53,7 +53,7 @@
     reading = load(path)
     further: list[Problem] = []
     if reading.file is not None:
-        further = judge(reading.file) + probe.ports(reading.file) + probe.files(reading.file)
+        further = judge(reading.file) + probe.check_ports(reading.file) + probe.files(reading.file)
         if resolve:
             further += probe.names(reading.file) + probe.variables(reading.file, os.environ)
     return sorted(dict.fromkeys(reading.with_meaning(further)), key=lambda p: p.line)
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -19,7 +19,7 @@
 SERVER_HEADER_PREFIX = "passpost/"  # how a sidecar names itself where it is asked whether it is ready
 
 
-def ports(file: File) -> list[Problem]:
+def check_ports(file: File) -> list[Problem]:
     """Listeners whose address is taken by somebody else, or is not this machine's."""
     found = []
     for i, application in enumerate(file.applications):
