--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -55,7 +55,7 @@
     if reading.file is not None:
         further = judge(reading.file) + probe.check_ports(reading.file) + probe.files(reading.file)
         if resolve:
-            further += probe.names(reading.file) + probe.variables(reading.file, os.environ)
+            further += probe.check_name_resolution(reading.file) + probe.variables(reading.file, os.environ)
     return sorted(dict.fromkeys(reading.with_meaning(further)), key=lambda p: p.line)
 
 
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -60,7 +60,7 @@
     return server.removeprefix(SERVER_HEADER_PREFIX) if server.startswith(SERVER_HEADER_PREFIX) else ""
 
 
-def names(file: File, timeout_s: float = 10.0) -> list[Problem]:
+def check_name_resolution(file: File, timeout_s: float = 10.0) -> list[Problem]:
     """Names that do not resolve here and now; all are asked side by side."""
     wanted = [
         (f"applications[{i}].upstreams.names", text)
