--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -53,7 +53,9 @@
     reading = load(path)
     further: list[Problem] = []
     if reading.file is not None:
-        further = judge(reading.file) + probe.check_ports(reading.file) + probe.files(reading.file)
+        further = (
+            judge(reading.file) + probe.check_ports(reading.file) + probe.check_watched_files(reading.file)
+        )
         if resolve:
             further += probe.check_name_resolution(reading.file) + probe.variables(reading.file, os.environ)
     return sorted(dict.fromkeys(reading.with_meaning(further)), key=lambda p: p.line)
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -95,7 +95,7 @@
     return "" if found else "resolves to nothing"
 
 
-def files(file: File) -> list[Problem]:
+def check_watched_files(file: File) -> list[Problem]:
     """Watched files that are not there: legal, as they may come later."""
     found = []
     for i, application in enumerate(file.applications):
