--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -57,7 +57,9 @@
             judge(reading.file) + probe.check_ports(reading.file) + probe.check_watched_files(reading.file)
         )
         if resolve:
-            further += probe.check_name_resolution(reading.file) + probe.variables(reading.file, os.environ)
+            further += probe.check_name_resolution(reading.file) + probe.check_environment(
+                reading.file, os.environ
+            )
     return sorted(dict.fromkeys(reading.with_meaning(further)), key=lambda p: p.line)
 
 
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -108,7 +108,7 @@
     return found
 
 
-def variables(file: File, environment: Mapping[str, str]) -> list[Problem]:
+def check_environment(file: File, environment: Mapping[str, str]) -> list[Problem]:
     """Headers whose variable is not set."""
     found = []
     for i, application in enumerate(file.applications):
