--- a/passpost/operator/settings.py
+++ b/passpost/operator/settings.py
@@ -7,14 +7,14 @@
 from umberworks.interface import Effect, RequestClass, Settings, Tenant
 
 EFFECTS = {"safe": Effect.REPEATABLE, "keyed": Effect.KEYED, "unsafe": Effect.ONCE}
-AIM_PART = 0.5  # of the deadline, where the file names no aim
+DEFAULT_AIM_SHARE = 0.5  # of the deadline, where the file names no aim
 
 
 def request_class(cls: Class) -> RequestClass:
     """One class as the module knows it."""
     return RequestClass(
         name=cls.name,
-        aim_ms=cls.aim_ms or AIM_PART * cls.deadline_ms,
+        aim_ms=cls.aim_ms or DEFAULT_AIM_SHARE * cls.deadline_ms,
         deadline_ms=cls.deadline_ms,
         effect=EFFECTS[cls.effect],
         dedup_window_ms=cls.window_ms,
--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -18,7 +18,7 @@
 from passpost.operator.model import Application, Discovered, File
 from passpost.operator.reader import UnreadableError, load
 from passpost.operator.routes import Routes
-from passpost.operator.settings import AIM_PART
+from passpost.operator.settings import DEFAULT_AIM_SHARE
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal.model import Class, Contract, Script
 from passpost.rehearsal.speech import PlainSpeech, sample
@@ -85,7 +85,7 @@
         classes.append(
             msgspec.structs.replace(
                 cls,
-                aim_ms=found.aim_ms or AIM_PART * found.deadline_ms,
+                aim_ms=found.aim_ms or DEFAULT_AIM_SHARE * found.deadline_ms,
                 deadline_ms=found.deadline_ms,
                 effect=found.effect,
                 window_ms=found.window_ms,
