--- a/passpost/operator/writer.py
+++ b/passpost/operator/writer.py
@@ -162,7 +162,7 @@
     """Lines that both the operator and the description have changed. `line` is in the operator's file."""
 
     line: int
-    yours: str
+    current: str
     new: str
 
 
