--- a/passpost/operator/diff.py
+++ b/passpost/operator/diff.py
@@ -10,7 +10,7 @@
 from passpost.operator.model import Application, Class, File, Part
 
 # Of an application, what only its listening socket and pools know: the rest is the module's, and can be swapped.
-AT_RESTART = frozenset({"listen", "connect_ms", "idle_s"})
+RESTART_FIELDS = frozenset({"listen", "connect_ms", "idle_s"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
             text = f"upstreams come from {_kind(b)} and no longer from {_kind(a)}"
             found.append(Change(key, text))
         elif isinstance(b, Part):
-            found += _fields(key, a, b, restart=field in AT_RESTART)
+            found += _fields(key, a, b, restart=field in RESTART_FIELDS)
         elif field == "tenants":
             found += _tenants(old, new)
         elif field == "add_headers":
@@ -64,7 +64,7 @@
                 Change(key, f"headers added: {', '.join(b) or 'none'}; before: {', '.join(a) or 'none'}")
             )
         else:
-            found.append(Change(key, f"{_show(b)}, and was {_show(a)}", field in AT_RESTART))
+            found.append(Change(key, f"{_show(b)}, and was {_show(a)}", field in RESTART_FIELDS))
     return found + _classes(old, new)
 
 
