--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -60,7 +60,7 @@
             further += probe.check_name_resolution(reading.file) + probe.check_environment(
                 reading.file, os.environ
             )
-    return sorted(dict.fromkeys(reading.with_meaning(further)), key=lambda p: p.line)
+    return sorted(dict.fromkeys(reading.all_problems(further)), key=lambda p: p.line)
 
 
 def sentence(path: str, problem: Problem) -> str:
--- a/passpost/operator/reader.py
+++ b/passpost/operator/reader.py
@@ -52,7 +52,7 @@
     problems: list[Problem] = field(default_factory=list)
     lines: dict[str, int] = field(default_factory=dict)
 
-    def with_meaning(self, found: Iterable[Problem]) -> list[Problem]:
+    def all_problems(self, found: Iterable[Problem]) -> list[Problem]:
         """All problems, located: those of form, and of the others those that do not follow from these."""
         spoilt = [p.key.rpartition(".")[0] + "." for p in self.problems if p.spoils]
         lost = any(s.startswith("applications[") for s in spoilt)
--- a/tests/operator/test_broken.py
+++ b/tests/operator/test_broken.py
@@ -130,7 +130,7 @@
 
 def errors(text: str) -> list[Problem]:
     reading = parse(text, "f.toml")
-    found = reading.with_meaning(check(reading.file) if reading.file is not None else ())
+    found = reading.all_problems(check(reading.file) if reading.file is not None else ())
     return [p for p in found if not p.warning]
 
 
--- a/tests/operator/test_examples.py
+++ b/tests/operator/test_examples.py
@@ -24,7 +24,7 @@
 def test_an_example_is_what_its_description_gives_and_serves(folder: Path) -> None:
     reading = load(str(folder / "passpost.toml"))
     file = reading.file
-    assert file is not None and [p for p in reading.with_meaning(check(file)) if not p.warning] == []
+    assert file is not None and [p for p in reading.all_problems(check(file)) if not p.warning] == []
     assert reading.text == render(build(new.read(str(folder / "description.toml"))), "description.toml")
 
     async def test(rig: Rig) -> None:
--- a/tests/operator/test_reader.py
+++ b/tests/operator/test_reader.py
@@ -85,7 +85,7 @@
     )
     reading = parse(text, "f.toml")
     assert reading.file is not None
-    found = reading.with_meaning(check(reading.file))
+    found = reading.all_problems(check(reading.file))
     told = {(p.key, p.line) for p in found if not p.warning}
     lines = text.split("\n")
 
@@ -129,5 +129,5 @@
     except UnreadableError as error:
         assert "\n" not in str(error)
         return
-    found = reading.with_meaning(check(reading.file) if reading.file is not None else ())
+    found = reading.all_problems(check(reading.file) if reading.file is not None else ())
     assert all("\n" not in p.text and 1 <= p.line <= text.count("\n") + 1 for p in found)
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -259,7 +259,7 @@
     except UnreadableError:
         return "unreadable"
     file = reading.file
-    if file is None or any(not p.warning for p in reading.with_meaning(check(file))):
+    if file is None or any(not p.warning for p in reading.all_problems(check(file))):
         return "refused"
     night = script(file, *FAULTS)
     try:
