--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -13,7 +13,7 @@
 
 from passpost.operator import model
 from passpost.operator.model import Application, Class, File
-from passpost.operator.reader import Problem, Reading
+from passpost.operator.reader import ParsedFile, Problem
 from passpost.operator.routes import covers, overlap, segments
 
 OTHER_DESCRIPTORS = (
@@ -77,7 +77,7 @@
 # ---- the process --------------------------------------------------------------------------------
 
 
-def findings(reading: Reading) -> list[Problem]:
+def findings(reading: ParsedFile) -> list[Problem]:
     """All that is wrong or unwise in what was read, of form and of meaning."""
     return reading.with_meaning(check(reading.file) if reading.file is not None else ())
 
--- a/passpost/operator/reader.py
+++ b/passpost/operator/reader.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class ParsedFile:
     """What was read: the file as far as it is well formed, and what is wrong with its form."""
 
     path: str
@@ -105,7 +105,7 @@
     return data
 
 
-def load(path: str) -> Reading:
+def load(path: str) -> ParsedFile:
     """Read a file; raises UnreadableError if it can't be parsed at all."""
     data = read_bytes(path)
     try:
@@ -116,7 +116,7 @@
     return parse(text, path)
 
 
-def parse(text: str, path: str) -> Reading:
+def parse(text: str, path: str) -> ParsedFile:
     """Read a text; raises UnreadableError if it is no TOML."""
     try:
         data = tomllib.loads(text)
@@ -130,7 +130,7 @@
     problems: list[Problem] = []
     file = read_part(File, data, problems)
     assert file is None or isinstance(file, File)
-    reading = Reading(path, text, file, lines=line_numbers(text))
+    reading = ParsedFile(path, text, file, lines=line_numbers(text))
     reading.problems = [reading.locate(p) for p in problems]
     return reading
 
