--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -64,7 +64,7 @@
     wanted = reader.read_part(Description, data, problems)
     lines = reader.line_numbers(text)
     for problem in problems:
-        click.echo(sentence(path, reader.place(problem, lines)), err=True)
+        click.echo(sentence(path, reader.with_line(problem, lines)), err=True)
     if problems or wanted is None:
         raise UnusableError(f"{path}: {len(problems)} mistake{'s' if len(problems) != 1 else ''}")
     assert isinstance(wanted, Description)
--- a/passpost/operator/reader.py
+++ b/passpost/operator/reader.py
@@ -65,10 +65,10 @@
 
     def locate(self, problem: Problem) -> Problem:
         """The problem with the line of its key."""
-        return place(problem, self.lines)
+        return with_line(problem, self.lines)
 
 
-def place(problem: Problem, lines: dict[str, int]) -> Problem:
+def with_line(problem: Problem, lines: dict[str, int]) -> Problem:
     """The problem with the line of its key, or of the nearest table round it."""
     key = problem.key
     while key and key not in lines:
