--- a/passpost/cli/command.py
+++ b/passpost/cli/command.py
@@ -19,7 +19,7 @@
 }
 
 
-class UnusableError(click.ClickException):
+class UnusableInputError(click.ClickException):
     """Input that can't be used: one line, status 2."""
 
     exit_code = 2
--- a/passpost/cli/diff.py
+++ b/passpost/cli/diff.py
@@ -7,7 +7,7 @@
 
 import click
 
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.operator.diff import difference
 from passpost.operator.reader import UnreadableError
 from passpost.operator.sidecar import InvalidFileError as Refused
@@ -26,7 +26,7 @@
     try:
         changes = difference(load_valid_file(a), load_valid_file(b))
     except (UnreadableError, Refused) as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     if as_json:
         click.echo(json.dumps([asdict(c) for c in changes], indent=2))
         return 0
--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.rehearsal.explore import explore
 from passpost.rehearsal.script import ScriptError, dump, load
 
@@ -39,7 +39,7 @@
     try:
         base = load(script)
     except ScriptError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     console = Console(stderr=True)
     with Progress(
         TextColumn("exploring"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn(),
@@ -58,7 +58,7 @@
     try:
         path.write_text(dump(found.script), encoding="utf-8")
     except OSError as error:
-        raise UnusableError(f"{path}: {error.strerror}") from None
+        raise UnusableInputError(f"{path}: {error.strerror}") from None
     if as_json:
         result = {"played": played, "found": {"seed": found.seed, "what": found.what, "script": str(path)}}
         click.echo(json.dumps(result))
--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.trace.folder import NoTraceError, steps
 from passpost.trace.tables import Row, Step, add_up, around, follow
 
@@ -39,15 +39,15 @@
     fine, 1 if no balancer has written of the request or the server, 2 if there is no folder or no such lines in it.
     """
     if balancer is not None and server is None:
-        raise UnusableError("--balancer goes with --server")
+        raise UnusableInputError("--balancer goes with --server")
     if txn is not None and server is not None:
-        raise UnusableError("--follow and --server don't go together")
+        raise UnusableInputError("--follow and --server don't go together")
     try:
         if server is not None:
             return _around(folder, server, balancer, as_json)
         return _follow(folder, txn, as_json) if txn is not None else _add_up(folder, whole, as_json)
     except NoTraceError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
 
 
 def _add_up(folder: Path, whole: bool, as_json: bool) -> int:
--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from passpost.cli.check import sentence
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.operator import checks, reader, writer
 from passpost.operator.description import Description
 from passpost.operator.reader import Problem, UnreadableError
@@ -33,7 +33,7 @@
     written), 2 a description that can't be used.
     """
     if (description is None) == (not ask):
-        raise UnusableError("name a DESCRIPTION, or give --ask")
+        raise UnusableInputError("name a DESCRIPTION, or give --ask")
     if ask:
         wanted, source = questions(), "questions"
     else:
@@ -44,7 +44,7 @@
     if errors := [p for p in found if not p.warning]:
         for problem in errors:
             click.echo(f"passpost: {source}: {problem.text}; {problem.fix}", err=True)
-        raise UnusableError(f"{source}: what it describes can't be")
+        raise UnusableInputError(f"{source}: what it describes can't be")
     if output is None:
         click.echo(text, nl=False)
         return 0
@@ -58,15 +58,15 @@
         text = reader.read_bytes(path).decode("utf-8")
         data = tomllib.loads(text)
     except UnreadableError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
-        raise UnusableError(f"{path}: no TOML: {' '.join(str(error).split())}") from None
+        raise UnusableInputError(f"{path}: no TOML: {' '.join(str(error).split())}") from None
     wanted = reader.read_part(Description, data, problems)
     lines = reader.line_numbers(text)
     for problem in problems:
         click.echo(sentence(path, reader.with_line(problem, lines)), err=True)
     if problems or wanted is None:
-        raise UnusableError(f"{path}: {len(problems)} mistake{'s' if len(problems) != 1 else ''}")
+        raise UnusableInputError(f"{path}: {len(problems)} mistake{'s' if len(problems) != 1 else ''}")
     assert isinstance(wanted, Description)
     return wanted
 
@@ -108,7 +108,7 @@
         replace(path, result)
         replace(base, text)
     except OSError as error:
-        raise UnusableError(f"{path}: {error.strerror}") from None
+        raise UnusableInputError(f"{path}: {error.strerror}") from None
     click.echo(f"{path}: written and checked; start it with: passpost run {path}")
     return 0
 
@@ -117,7 +117,7 @@
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise UnusableError(f"{path}: {error}") from None
+        raise UnusableInputError(f"{path}: {error}") from None
 
 
 def replace(path: Path, text: str) -> None:
@@ -179,4 +179,4 @@
     try:
         return msgspec.convert(data, Description)
     except msgspec.ValidationError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -14,7 +14,7 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 from rich.table import Table
 
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.rehearsal import report
 from passpost.rehearsal.script import ScriptError, load
 from passpost.rehearsal.summary import HEADS, Summary, summarize
@@ -43,7 +43,7 @@
     try:
         night_script = load(script)
     except ScriptError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     chosen = night_script.seed if seed is None else seed
     with ExitStack() as stack:
         sink = _open(decisions, stack)
@@ -71,7 +71,7 @@
             try:
                 night = play_live(night_script, chosen, write, progress)
             except UnplayableError as error:
-                raise UnusableError(f"{script}: {error}") from None
+                raise UnusableInputError(f"{script}: {error}") from None
         else:
             from passpost.rehearsal.virtual import play
 
@@ -81,7 +81,7 @@
         try:
             Path(page).write_text(report.write(night), encoding="utf-8")
         except OSError as error:
-            raise UnusableError(f"{page}: {error.strerror}") from None
+            raise UnusableInputError(f"{page}: {error.strerror}") from None
     if as_json:
         more = {"good": night.is_good(), "first_break": night.breaks[0].text if night.breaks else None}
         click.echo(json.dumps(figures.as_json() | more, indent=2))
@@ -96,7 +96,7 @@
     try:
         return stack.enter_context(open(path, "w", encoding="utf-8"))
     except OSError as error:
-        raise UnusableError(f"{path}: {error.strerror}") from None
+        raise UnusableInputError(f"{path}: {error.strerror}") from None
 
 
 def show(night: Night, figures: Summary) -> None:
--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from passpost.cli.check import sentence
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.operator import sidecar
 from passpost.operator.reader import UnreadableError
 from passpost.signals import Signals
@@ -45,11 +45,11 @@
             return asyncio.run(Supervisor(file, workers).run())
         uvloop.run(serve(file))
     except UnreadableError as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     except sidecar.InvalidFileError as error:
         for problem in error.problems:
             click.echo(sentence(file, problem), err=True)
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     except (OSError, ValueError) as error:
         click.echo(f"passpost: {file}: {error}", err=True)
         return 1
