--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -48,7 +48,7 @@
     if output is None:
         click.echo(text, nl=False)
         return 0
-    return write(Path(output), text, force)
+    return write_merged(Path(output), text, force)
 
 
 def read(path: str) -> Description:
@@ -76,7 +76,7 @@
     return checks.findings(reader.parse(text, path))
 
 
-def write(path: Path, text: str, force: bool) -> int:
+def write_merged(path: Path, text: str, force: bool) -> int:
     """Write the file, keeping the operator's edits."""
     base = path.with_name(f".{path.name}.base")
     result = text
