--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -105,8 +105,8 @@
     if errors:
         return 1
     try:
-        replace(path, result)
-        replace(base, text)
+        replace_file(path, result)
+        replace_file(base, text)
     except OSError as error:
         raise UnusableInputError(f"{path}: {error.strerror}") from None
     click.echo(f"{path}: written and checked; start it with: passpost run {path}")
@@ -120,7 +120,7 @@
         raise UnusableInputError(f"{path}: {error}") from None
 
 
-def replace(path: Path, text: str) -> None:
+def replace_file(path: Path, text: str) -> None:
     """Write in one go: whoever reads the file has the old one or the new, whole."""
     handle, aside = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
