--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -35,7 +35,7 @@
     if (description is None) == (not ask):
         raise UnusableInputError("name a DESCRIPTION, or give --ask")
     if ask:
-        wanted, source = questions(), "questions"
+        wanted, source = ask_description(), "questions"
     else:
         assert description is not None
         wanted, source = read(description), os.path.basename(description)
@@ -135,7 +135,7 @@
         raise
 
 
-def questions() -> Description:
+def ask_description() -> Description:
     """Ask for a description; every answer has a default that can be taken by Enter."""
     data: dict[str, Any] = {
         "application": click.prompt("What do you call your software", default="my-software")
