--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -39,7 +39,7 @@
         told += [{"file": path, **asdict(p)} for p in found]
         if not as_json:
             for problem in found:
-                click.echo(sentence(path, problem))
+                click.echo(format_problem(path, problem))
             if not errors:
                 more = f", {len(found)} warnings" if found else ""
                 click.echo(f"{path}: fine{more}")
@@ -63,7 +63,7 @@
     return sorted(dict.fromkeys(reading.all_problems(further)), key=lambda p: p.line)
 
 
-def sentence(path: str, problem: Problem) -> str:
+def format_problem(path: str, problem: Problem) -> str:
     """A finding as one line."""
     kind = "warning: " if problem.warning else ""
     fix = f"; {problem.fix}" if problem.fix else ""
--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from passpost.cli.check import sentence
+from passpost.cli.check import format_problem
 from passpost.cli.command import UnusableInputError
 from passpost.operator import checks, reader, writer
 from passpost.operator.description import Description
@@ -64,7 +64,7 @@
     wanted = reader.read_part(Description, data, problems)
     lines = reader.line_numbers(text)
     for problem in problems:
-        click.echo(sentence(path, reader.with_line(problem, lines)), err=True)
+        click.echo(format_problem(path, reader.with_line(problem, lines)), err=True)
     if problems or wanted is None:
         raise UnusableInputError(f"{path}: {len(problems)} mistake{'s' if len(problems) != 1 else ''}")
     assert isinstance(wanted, Description)
--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -10,7 +10,7 @@
 import click
 import uvloop
 
-from passpost.cli.check import sentence
+from passpost.cli.check import format_problem
 from passpost.cli.command import UnusableInputError
 from passpost.operator import sidecar
 from passpost.operator.reader import UnreadableError
@@ -48,7 +48,7 @@
         raise UnusableInputError(str(error)) from None
     except sidecar.InvalidFileError as error:
         for problem in error.problems:
-            click.echo(sentence(file, problem), err=True)
+            click.echo(format_problem(file, problem), err=True)
         raise UnusableInputError(str(error)) from None
     except (OSError, ValueError) as error:
         click.echo(f"passpost: {file}: {error}", err=True)
