--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -18,7 +18,7 @@
 from passpost.operator.model import Application, Class
 from passpost.operator.reader import load
 from passpost.rehearsal.speech import sample
-from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, running, until_ready
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").iterdir())
 
@@ -87,7 +87,7 @@
 
 
 def by_library(port: int, application: Application) -> None:
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     for cls in application.classes:
         target, headers, body = asked(cls)
         for method in cls.methods:
@@ -102,7 +102,7 @@
 
 
 async def by_aiohttp(port: int, application: Application) -> None:
-    wait = aiohttp.ClientTimeout(total=PATIENCE)
+    wait = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}", timeout=wait) as session:
 
         async def call(cls: Class, method: str) -> None:
--- a/tests/cli/test_long_clients.py
+++ b/tests/cli/test_long_clients.py
@@ -16,7 +16,7 @@
 import aiohttp
 import pytest
 
-from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, running, until_ready
 
 EXAMPLE = Path(__file__).parent.parent.parent / "examples" / "consent-desk" / "passpost.toml"
 MB = 1024 * 1024
@@ -64,7 +64,7 @@
                 self.send_header("Content-Length", "10")
                 self.end_headers()
                 self.wfile.write(b"first")
-                self.go_on.wait(PATIENCE)
+                self.go_on.wait(TIMEOUT_S)
                 self.go_on.clear()
                 self.wfile.write(b"later")
             case "feed":
@@ -111,7 +111,7 @@
         for number in range(3):
             event = b"data: %d\n\n" % number
             self.wfile.write(b"%x\r\n%b\r\n" % (len(event), event))
-            if not self.go_on.wait(PATIENCE):
+            if not self.go_on.wait(TIMEOUT_S):
                 return
             self.go_on.clear()
         self.wfile.write(b"0\r\n\r\n")
@@ -153,7 +153,7 @@
 def ask(
     port: int, method: str, path: str, body: bytes | Iterator[bytes] | None = None, **headers: str
 ) -> tuple[int, bytes, http.client.HTTPResponse]:
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     names = {name.replace("_", "-"): value for name, value in headers.items()}
     connection.request(method, path, body, names, encode_chunked=False)
     got = connection.getresponse()
@@ -197,7 +197,7 @@
     chunks = (b"%x\r\n%b\r\n" % (len(p), p) for p in [b"c" * MB] * 3 + [b""])
     got = ask(port, "POST", "/jobs", chunks, Transfer_Encoding="chunked", **key)
     assert got[:2] == (200, str(3 * MB).encode())
-    with socket.create_connection(("127.0.0.1", port), PATIENCE) as caller:
+    with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as caller:
         head = "POST /jobs HTTP/1.1\r\nHost: a\r\nIdempotency-Key: k\r\nExpect: 100-continue\r\n"
         caller.sendall(f"{head}Content-Length: {MB}\r\n\r\n".encode())
         reader = caller.makefile("rb")
@@ -229,7 +229,7 @@
     port, kind = served
 
     async def read() -> list[bytes]:
-        wait = aiohttp.ClientTimeout(total=PATIENCE)
+        wait = aiohttp.ClientTimeout(total=TIMEOUT_S)
         events = []
         async with (
             aiohttp.ClientSession(timeout=wait) as session,
@@ -250,7 +250,7 @@
     served: tuple[int, type[Server]],
 ) -> None:
     port, kind = served
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     connection.request("GET", "/events/part")
     got = connection.getresponse()  # the server waits for us
     assert got.read(5) == b"first"
@@ -261,12 +261,12 @@
 
 def test_a_feed_that_lives_on_does_not_hold_up_the_end(tmp_path: Path) -> None:
     with example(tmp_path) as (port, kind, process):
-        with socket.create_connection(("127.0.0.1", port), PATIENCE) as caller:
+        with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as caller:
             caller.sendall(b"GET /events/feed HTTP/1.1\r\nHost: a\r\n\r\n")
             reader = caller.makefile("rb")
             assert reader.readline() == b"HTTP/1.1 200 OK\r\n"
             process.terminate()
-            assert process.wait(PATIENCE) == 0
+            assert process.wait(TIMEOUT_S) == 0
             rest = reader.read()  # the feed was cut, which its framing tells
             assert b"data: 0" in rest and not rest.endswith(b"0\r\n\r\n")
         kind.go_on.set()
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -22,7 +22,7 @@
 from tests.loopback import config_data, member
 from tests.operator.files import GOOD, broken
 
-PATIENCE = 20.0
+TIMEOUT_S = 20.0
 
 
 @pytest.fixture
@@ -235,7 +235,7 @@
 
 
 def get(port: int, path: str) -> tuple[int, str, str]:
-    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=PATIENCE)
+    connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     try:
         connection.request("GET", path)
         got = connection.getresponse()
@@ -245,7 +245,7 @@
 
 
 def until_ready(port: int, process: subprocess.Popen[str]) -> None:
-    for _ in range(int(PATIENCE / 0.05)):
+    for _ in range(int(TIMEOUT_S / 0.05)):
         assert process.poll() is None, process.stderr.read() if process.stderr else ""
         try:
             if get(port, "/health/ready")[0] == 200:
@@ -289,13 +289,13 @@
             assert command.run(["check", str(path)]) == 0  # it runs by this very file
             path.write_text(path.read_text().replace("/frames/**", "/stills/**"))
             process.send_signal(signal.SIGHUP)
-            for _ in range(int(PATIENCE / 0.05)):
+            for _ in range(int(TIMEOUT_S / 0.05)):
                 if get(port, "/stills/1")[0] == 200:
                     break
                 time.sleep(0.05)
             assert get(port, "/stills/1")[0] == 200 and get(port, "/frames/1")[0] == 404
             process.send_signal(signal.SIGTERM)
-            _, log = process.communicate(timeout=PATIENCE)
+            _, log = process.communicate(timeout=TIMEOUT_S)
             assert process.returncode == 0, log
             assert "render.frame.path: '/stills/**', and was '/frames/**'" in log
 
@@ -319,11 +319,11 @@
             until_ready(port, process)
             assert get(port, "/frames/1")[0] == 200
             process.send_signal(signal.SIGTERM)
-            _, log = process.communicate(timeout=PATIENCE)
+            _, log = process.communicate(timeout=TIMEOUT_S)
             assert process.returncode == 0, log
         path.write_text("version = ")
         with running(path, *arguments, EDGE_CONFIG=str(config)) as process:
-            _, log = process.communicate(timeout=PATIENCE)
+            _, log = process.communicate(timeout=TIMEOUT_S)
         assert process.returncode == 2 and "no TOML" in log and "Traceback" not in log
 
 
@@ -333,7 +333,7 @@
         port = other.getsockname()[1]
         path.write_text(broken(("127.0.0.1:17070", f"127.0.0.1:{port}")))
         with running(path, RENDER_TOKEN="x") as process:
-            _, log = process.communicate(timeout=PATIENCE)
+            _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 1 and "Traceback" not in log
     assert "in use" in log.strip().split("\n")[-1]
 
@@ -342,5 +342,5 @@
     path = tmp_path / "f.toml"
     path.write_text(broken(("share = 0.4", "share = 0.5")))
     with running(path) as process:
-        _, log = process.communicate(timeout=PATIENCE)
+        _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2 and "the shares come to 110%" in log and "Traceback" not in log
--- a/tests/workers/test_last_worker.py
+++ b/tests/workers/test_last_worker.py
@@ -19,7 +19,7 @@
 import pytest
 
 from tests.cli.test_clients import serving
-from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, running, until_ready
 from tests.workers.test_run import TEXT
 
 REQUEST = b"GET /views/1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
@@ -28,11 +28,11 @@
 
 def unanswered(port: int, process: subprocess.Popen[str]) -> int:
     """How many connections came up and got no whole answer, until the process has gone."""
-    ends, count = time.monotonic() + PATIENCE, 0
+    ends, count = time.monotonic() + TIMEOUT_S, 0
     while process.poll() is None:
         assert time.monotonic() < ends, "it does not end"
         try:
-            client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+            client = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         except OSError:
             continue  # refused: nothing was taken
         with client:
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -18,7 +18,7 @@
 from passpost.operator.reader import parse
 from passpost.workers.supervisor import divided
 from tests.cli.test_clients import serving
-from tests.cli.test_operator import PATIENCE, free_port, get, running, until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, get, running, until_ready
 from tests.operator.files import GOOD
 
 TEXT = """\
@@ -51,7 +51,7 @@
             self.text += line
 
     def until(self, condition: Callable[[str], bool]) -> None:
-        for _ in range(int(PATIENCE / 0.02)):
+        for _ in range(int(TIMEOUT_S / 0.02)):
             if condition(self.text):
                 return
             time.sleep(0.02)
@@ -86,7 +86,7 @@
         log.until(lambda _: len(log.serves(1)) == 2)
         assert "worker 1 ended with status -9" in log.text and len(log.serves(2)) == 1
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_a_change_of_classes_reaches_both_and_one_of_limits_renews_them(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
         assert {get(port, "/stills/1")[0] for _ in range(20)} == {200} and ask(port) == 404
         path.write_text(before.replace("descriptors = 512", "descriptors = 600"))
         process.send_signal(signal.SIGHUP)
-        answers, gives_up = [], time.monotonic() + PATIENCE
+        answers, gives_up = [], time.monotonic() + TIMEOUT_S
         while len(log.serves(1)) < 2 or len(log.serves(2)) < 2:
             answers.append(get(port, "/health/ready")[0])
             assert process.poll() is None and time.monotonic() < gives_up
@@ -106,7 +106,7 @@
         assert set(answers) <= {200, 503}  # a draining worker says that it is not ready; none is cut off
         assert {ask(port) for _ in range(20)} == {200}
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_a_bad_file_changes_nothing(tmp_path: Path) -> None:
@@ -116,15 +116,15 @@
         log.until(lambda text: "the old configuration stays: limits.descriptors: 90 are too few" in text)
         assert ask(port) == 200 and len(log.serves(1)) == 1
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_workers_end_when_their_parent_is_killed(tmp_path: Path) -> None:
     with two(tmp_path) as (process, log, _, _port):
         workers = [log.serves(1)[0], log.serves(2)[0]]
         process.kill()
-        process.wait(PATIENCE)
-        for _ in range(int(PATIENCE / 0.02)):
+        process.wait(TIMEOUT_S)
+        for _ in range(int(TIMEOUT_S / 0.02)):
             if not any(Path(f"/proc/{w}").exists() for w in workers):
                 return
             time.sleep(0.02)
@@ -134,7 +134,7 @@
 def test_a_taken_port_ends_with_one_line(tmp_path: Path) -> None:
     with two(tmp_path) as (_process, _log, path, _port):
         with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
-            _, text = second.communicate(timeout=PATIENCE)
+            _, text = second.communicate(timeout=TIMEOUT_S)
         assert second.returncode == 1 and "Address already in use" in text and "Traceback" not in text
 
 
