--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -244,7 +244,7 @@
         connection.close()
 
 
-def until_ready(port: int, process: subprocess.Popen[str]) -> None:
+def wait_until_ready(port: int, process: subprocess.Popen[str]) -> None:
     for _ in range(int(TIMEOUT_S / 0.05)):
         assert process.poll() is None, process.stderr.read() if process.stderr else ""
         try:
@@ -282,7 +282,7 @@
         source.write_text(text)
         assert command.run(["new", str(source), "-o", str(path)]) == 0
         with running(path) as process:
-            until_ready(port, process)
+            wait_until_ready(port, process)
             status, body, _ = get(port, "/frames/1")
             assert status == 200 and body.startswith("/frames/1 render-")
             assert get(port, "/health/ready")[2] == "passpost/render"
@@ -315,8 +315,8 @@
         assert command.run(["new", str(source), "-o", str(path)]) == 0
         arguments = ("-m", "passpost", "--operator", str(path))
         with running(path, *arguments, EDGE_CONFIG=str(config)) as process:
-            until_ready(own, process)
-            until_ready(port, process)
+            wait_until_ready(own, process)
+            wait_until_ready(port, process)
             assert get(port, "/frames/1")[0] == 200
             process.send_signal(signal.SIGTERM)
             _, log = process.communicate(timeout=TIMEOUT_S)
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -18,7 +18,7 @@
 from passpost.operator.reader import parse
 from passpost.workers.supervisor import divided
 from tests.cli.test_clients import serving
-from tests.cli.test_operator import TIMEOUT_S, free_port, get, running, until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, get, running, wait_until_ready
 from tests.operator.files import GOOD
 
 TEXT = """\
@@ -70,7 +70,7 @@
         with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
             log = Log(process)
             log.until(lambda _: bool(log.serves(1) and log.serves(2)))
-            until_ready(port, process)
+            wait_until_ready(port, process)
             yield process, log, path, port
 
 
