--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -18,7 +18,7 @@
 from passpost.operator.model import Application, Class
 from passpost.operator.reader import load
 from passpost.rehearsal.speech import sample
-from tests.cli.test_operator import TIMEOUT_S, free_port, running, wait_until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, run_process, wait_until_ready
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").iterdir())
 
@@ -77,7 +77,7 @@
     path = tmp_path / "passpost.toml"
     with ExitStack() as stack:
         applications = on_free_ports(folder, path, stack)
-        process = stack.enter_context(running(path))
+        process = stack.enter_context(run_process(path))
         for application in applications:
             address = split_host_port(application.listen)
             assert address is not None
--- a/tests/cli/test_long_clients.py
+++ b/tests/cli/test_long_clients.py
@@ -16,7 +16,7 @@
 import aiohttp
 import pytest
 
-from tests.cli.test_operator import TIMEOUT_S, free_port, running, wait_until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, run_process, wait_until_ready
 
 EXAMPLE = Path(__file__).parent.parent.parent / "examples" / "consent-desk" / "passpost.toml"
 MB = 1024 * 1024
@@ -137,7 +137,7 @@
         path.write_text(
             text.replace("127.0.0.1:17201", f"127.0.0.1:{port}").replace("# serve_s = 2", "serve_s = 0.1")
         )
-        with running(path) as process:
+        with run_process(path) as process:
             wait_until_ready(port, process)
             yield port, kind, process
         one.shutdown()
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -257,7 +257,7 @@
 
 
 @contextmanager
-def running(path: Path, *arguments: str, **environment: str) -> Iterator[subprocess.Popen[str]]:
+def run_process(path: Path, *arguments: str, **environment: str) -> Iterator[subprocess.Popen[str]]:
     process = subprocess.Popen(
         [sys.executable, *(arguments or ("-m", "passpost.cli", "run", str(path)))],
         env=os.environ | environment,
@@ -281,7 +281,7 @@
         )
         source.write_text(text)
         assert command.run(["new", str(source), "-o", str(path)]) == 0
-        with running(path) as process:
+        with run_process(path) as process:
             wait_until_ready(port, process)
             status, body, _ = get(port, "/frames/1")
             assert status == 200 and body.startswith("/frames/1 render-")
@@ -314,7 +314,7 @@
         )
         assert command.run(["new", str(source), "-o", str(path)]) == 0
         arguments = ("-m", "passpost", "--operator", str(path))
-        with running(path, *arguments, EDGE_CONFIG=str(config)) as process:
+        with run_process(path, *arguments, EDGE_CONFIG=str(config)) as process:
             wait_until_ready(own, process)
             wait_until_ready(port, process)
             assert get(port, "/frames/1")[0] == 200
@@ -322,7 +322,7 @@
             _, log = process.communicate(timeout=TIMEOUT_S)
             assert process.returncode == 0, log
         path.write_text("version = ")
-        with running(path, *arguments, EDGE_CONFIG=str(config)) as process:
+        with run_process(path, *arguments, EDGE_CONFIG=str(config)) as process:
             _, log = process.communicate(timeout=TIMEOUT_S)
         assert process.returncode == 2 and "no TOML" in log and "Traceback" not in log
 
@@ -332,7 +332,7 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         port = other.getsockname()[1]
         path.write_text(broken(("127.0.0.1:17070", f"127.0.0.1:{port}")))
-        with running(path, RENDER_TOKEN="x") as process:
+        with run_process(path, RENDER_TOKEN="x") as process:
             _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 1 and "Traceback" not in log
     assert "in use" in log.strip().split("\n")[-1]
@@ -341,6 +341,6 @@
 def test_a_file_with_a_mistake_is_not_run(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text(broken(("share = 0.4", "share = 0.5")))
-    with running(path) as process:
+    with run_process(path) as process:
         _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2 and "the shares come to 110%" in log and "Traceback" not in log
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -21,7 +21,7 @@
 import pytest
 
 from passpost.workers.plan import End, Plan, Tell
-from tests.cli.test_operator import free_port, running
+from tests.cli.test_operator import free_port, run_process
 from tests.loopback import PATIENCE, config_data, member
 from tests.workers.test_run import TEXT
 
@@ -56,7 +56,7 @@
 def test_the_platforms_balancer_ends_with_0(tmp_path: Path, numbers: list[signal.Signals]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
+    with run_process(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
         assert exit_status(process, "serves on", numbers) == 0
 
 
@@ -67,7 +67,7 @@
 ) -> None:
     path = tmp_path / "passpost.toml"
     path.write_text(TEXT.format(port=free_port(), server=9))
-    with running(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
+    with run_process(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
         assert exit_status(process, "serves", numbers) == 0
 
 
@@ -75,7 +75,7 @@
     # The parent of workers read its file for each of 2,000 signals a second: it had not ended after 20 minutes.
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
+    with run_process(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
         assert process.stderr is not None
         while "serves on" not in process.stderr.readline():
             assert process.poll() is None
--- a/tests/workers/test_last_worker.py
+++ b/tests/workers/test_last_worker.py
@@ -19,7 +19,7 @@
 import pytest
 
 from tests.cli.test_clients import serving
-from tests.cli.test_operator import TIMEOUT_S, free_port, running, wait_until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, run_process, wait_until_ready
 from tests.workers.test_run import TEXT
 
 REQUEST = b"GET /views/1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
@@ -50,7 +50,7 @@
     with serving() as server:
         path, port = tmp_path / "passpost.toml", free_port()
         path.write_text(TEXT.format(port=port, server=server).replace("8000", "300"))
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
             wait_until_ready(port, process)
             process.send_signal(signal.SIGTERM)
             lost = unanswered(port, process)
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -18,7 +18,7 @@
 from passpost.operator.reader import parse
 from passpost.workers.supervisor import divided
 from tests.cli.test_clients import serving
-from tests.cli.test_operator import TIMEOUT_S, free_port, get, running, wait_until_ready
+from tests.cli.test_operator import TIMEOUT_S, free_port, get, run_process, wait_until_ready
 from tests.operator.files import GOOD
 
 TEXT = """\
@@ -67,7 +67,7 @@
     with serving() as server:
         path, port = tmp_path / "f.toml", free_port()
         path.write_text(TEXT.format(port=port, server=server))
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
             log = Log(process)
             log.until(lambda _: bool(log.serves(1) and log.serves(2)))
             wait_until_ready(port, process)
@@ -133,7 +133,7 @@
 
 def test_a_taken_port_ends_with_one_line(tmp_path: Path) -> None:
     with two(tmp_path) as (_process, _log, path, _port):
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
             _, text = second.communicate(timeout=TIMEOUT_S)
         assert second.returncode == 1 and "Address already in use" in text and "Traceback" not in text
 
