--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -45,7 +45,7 @@
 
 
 @contextmanager
-def serving() -> Iterator[int]:
+def run_server() -> Iterator[int]:
     with ThreadingHTTPServer(("127.0.0.1", 0), Server) as server:
         thread = Thread(target=server.serve_forever, args=(0.01,), daemon=True)
         thread.start()
@@ -58,7 +58,7 @@
     """The example's file with ports that are free, and servers at its upstreams' addresses."""
     text = (folder / "passpost.toml").read_text()
     for address in sorted(set(re.findall(r"127\.0\.0\.1:18\d+", text))):
-        text = text.replace(address, f"127.0.0.1:{stack.enter_context(serving())}")
+        text = text.replace(address, f"127.0.0.1:{stack.enter_context(run_server())}")
     for address in sorted(set(re.findall(r"127\.0\.0\.1:17\d+", text))):
         text = text.replace(address, f"127.0.0.1:{free_port()}")
     to.write_text(text)
--- a/tests/workers/test_last_worker.py
+++ b/tests/workers/test_last_worker.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from tests.cli.test_clients import serving
+from tests.cli.test_clients import run_server
 from tests.cli.test_operator import TIMEOUT_S, free_port, run_process, wait_until_ready
 from tests.workers.test_run import TEXT
 
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("workers", ["1", "2", "3"])
 def test_what_comes_while_the_last_worker_ends_is_answered_or_refused(tmp_path: Path, workers: str) -> None:
-    with serving() as server:
+    with run_server() as server:
         path, port = tmp_path / "passpost.toml", free_port()
         path.write_text(TEXT.format(port=port, server=server).replace("8000", "300"))
         with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -17,7 +17,7 @@
 from passpost.operator.model import File
 from passpost.operator.reader import parse
 from passpost.workers.supervisor import divided
-from tests.cli.test_clients import serving
+from tests.cli.test_clients import run_server
 from tests.cli.test_operator import TIMEOUT_S, free_port, get, run_process, wait_until_ready
 from tests.operator.files import GOOD
 
@@ -64,7 +64,7 @@
 
 @contextmanager
 def two(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[str], Log, Path, int]]:
-    with serving() as server:
+    with run_server() as server:
         path, port = tmp_path / "f.toml", free_port()
         path.write_text(TEXT.format(port=port, server=server))
         with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
