--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -20,7 +20,7 @@
 
 from passpost.cli import command
 from tests.loopback import config_data, member
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 
 TIMEOUT_S = 20.0
 
@@ -38,7 +38,7 @@
 
 def test_every_mistake_has_its_line(tmp_path: Path, good: str, capsys: pytest.CaptureFixture[str]) -> None:
     bad = tmp_path / "bad.toml"
-    bad.write_text(broken(("share = 0.4", "share = 0.5"), ("serve_s = 2", "serv_s = 2")))
+    bad.write_text(good_file_with(("share = 0.4", "share = 0.5"), ("serve_s = 2", "serv_s = 2")))
     assert command.run(["check", good, str(bad)]) == 2
     assert capsys.readouterr().out == (
         f"{good}: fine\n"
@@ -65,7 +65,7 @@
 
 def test_a_warning_refuses_nothing(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "f.toml"
-    path.write_text(broken(("127.0.0.1:17071", "0.0.0.0:17071")))
+    path.write_text(good_file_with(("127.0.0.1:17071", "0.0.0.0:17071")))
     assert command.run(["check", str(path)]) == 0
     assert "warning: applications[1].listen: listens on every address" in capsys.readouterr().out
 
@@ -73,7 +73,7 @@
 def test_names_are_resolved_when_asked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "f.toml"
     path.write_text(
-        broken(("localhost:18003", "no-such-host.invalid:18003"))
+        good_file_with(("localhost:18003", "no-such-host.invalid:18003"))
     )  # RFC 6761, 6.4: never resolves
     assert command.run(["check", str(path)]) == 0
     assert command.run(["check", str(path), "--resolve"]) == 2
@@ -86,7 +86,7 @@
     with socket.create_server(("127.0.0.1", 0)) as other:
         port = other.getsockname()[1]
         path = tmp_path / "f.toml"
-        path.write_text(broken(("127.0.0.1:17070", f"127.0.0.1:{port}")))
+        path.write_text(good_file_with(("127.0.0.1:17070", f"127.0.0.1:{port}")))
         assert command.run(["check", str(path)]) == 2
     assert f"applications[0].listen: 127.0.0.1:{port} is taken" in capsys.readouterr().out
 
@@ -94,7 +94,7 @@
 def test_a_difference_is_told(tmp_path: Path, good: str, capsys: pytest.CaptureFixture[str]) -> None:
     other = tmp_path / "other.toml"
     other.write_text(
-        broken(("memory_mb = 256", "memory_mb = 512"), ("deadline_ms = 3000", "deadline_ms = 3100"))
+        good_file_with(("memory_mb = 256", "memory_mb = 512"), ("deadline_ms = 3000", "deadline_ms = 3100"))
     )
     assert command.run(["diff", good, str(other)]) == 0
     assert capsys.readouterr().out == (
@@ -331,7 +331,7 @@
     path = tmp_path / "f.toml"
     with socket.create_server(("127.0.0.1", 0)) as other:
         port = other.getsockname()[1]
-        path.write_text(broken(("127.0.0.1:17070", f"127.0.0.1:{port}")))
+        path.write_text(good_file_with(("127.0.0.1:17070", f"127.0.0.1:{port}")))
         with run_process(path, RENDER_TOKEN="x") as process:
             _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 1 and "Traceback" not in log
@@ -340,7 +340,7 @@
 
 def test_a_file_with_a_mistake_is_not_run(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
-    path.write_text(broken(("share = 0.4", "share = 0.5")))
+    path.write_text(good_file_with(("share = 0.4", "share = 0.5")))
     with run_process(path) as process:
         _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2 and "the shares come to 110%" in log and "Traceback" not in log
--- a/tests/operator/files.py
+++ b/tests/operator/files.py
@@ -85,7 +85,7 @@
 """
 
 
-def broken(*edits: tuple[str, str]) -> str:
+def good_file_with(*edits: tuple[str, str]) -> str:
     """The good file with texts replaced; each must be there."""
     text = GOOD
     for old, new in edits:
--- a/tests/operator/test_broken.py
+++ b/tests/operator/test_broken.py
@@ -6,7 +6,7 @@
 
 from passpost.operator.checks import check
 from passpost.operator.reader import Problem, parse
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 
 # (what is replaced, by what, the key, the sentence, what would be right)
 FAULTS: list[tuple[str, str, str, str, str]] = [
@@ -146,7 +146,7 @@
     ("old", "new", "key", "sentence", "fix"), FAULTS, ids=[f"{i}-{f[2]}" for i, f in enumerate(FAULTS)]
 )
 def test_one_fault_is_one_sentence(old: str, new: str, key: str, sentence: str, fix: str) -> None:
-    text = broken((old, new))
+    text = good_file_with((old, new))
     found = errors(text)
     assert [(p.key, sentence in p.text, fix in p.fix) for p in found] == [(key, True, True)], found
     assert "\n" not in found[0].text + found[0].fix
--- a/tests/operator/test_diff.py
+++ b/tests/operator/test_diff.py
@@ -9,11 +9,11 @@
 from passpost.operator.diff import difference
 from passpost.operator.model import File
 from passpost.operator.reader import parse
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 
 
 def file(*edits: tuple[str, str]) -> File:
-    found = parse(broken(*edits), "f.toml").file
+    found = parse(good_file_with(*edits), "f.toml").file
     assert found is not None
     return found
 
--- a/tests/operator/test_reader.py
+++ b/tests/operator/test_reader.py
@@ -11,7 +11,7 @@
 
 from passpost.operator.checks import check
 from passpost.operator.reader import UnreadableError, line_numbers, load, parse
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 
 
 @pytest.mark.parametrize(
@@ -76,7 +76,7 @@
 
 
 def test_every_mistake_is_told_at_once_and_at_its_line() -> None:
-    text = broken(
+    text = good_file_with(
         ("memory_mb = 256", 'memory_mb = "lots"'),
         ("serve_s = 2", "serv_s = 2"),
         ('effect = "unsafe"', 'effect = "unsave"'),
--- a/tests/operator/test_sidecar.py
+++ b/tests/operator/test_sidecar.py
@@ -14,11 +14,11 @@
 from passpost.operator import sidecar as module
 from passpost.operator.model import File
 from passpost.operator.reader import parse
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 from tests.operator.rig import OK, Rig, Seen, Upstream, play
 
 RENDER, QUEUE = ("127.0.0.1", 17070), ("127.0.0.1", 17071)
-PLAIN = broken(
+PLAIN = good_file_with(
     ('kind = "names"\nnames = ["localhost:18003"]', 'kind = "static"\naddresses = ["127.0.0.1:18003"]'),
     ("span_ms = 10000", "span_ms = 0"),
 )
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
 from passpost.rehearsal.virtual import play
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 from tests.rehearsal import nights
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").glob("*/rehearsal.toml"))
@@ -131,7 +131,7 @@
 
 def test_a_live_night_runs_the_command_itself(tmp_path: Path) -> None:
     (tmp_path / "f.toml").write_text(
-        broken(
+        good_file_with(
             ("deadline_ms = 3000\naim_ms = 1200\nattempt_ms = 1000", "deadline_ms = 40000"),
             ("descriptors = 1024", "descriptors = 256"),
             ("kill_after_s = 30", "kill_after_s = 60"),
@@ -192,7 +192,7 @@
     ],
 )
 def test_a_file_that_can_not_be_rehearsed_is_named(tmp_path: Path, edits: Any, reason: str) -> None:
-    (tmp_path / "f.toml").write_text(broken(*edits))
+    (tmp_path / "f.toml").write_text(good_file_with(*edits))
     with pytest.raises(MismatchError, match=reason):
         carried.merged(script(good()), carried.read(str(tmp_path / "f.toml")))
 
