--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -85,7 +85,7 @@
         if base.exists():
             merged = writer.merge(_text(base), yours, text)
             for conflict in merged.conflicts:
-                mine, new = (" / ".join(x.splitlines()) or "nothing" for x in (conflict.yours, conflict.new))
+                mine, new = (" / ".join(x.splitlines()) or "nothing" for x in (conflict.current, conflict.new))
                 click.echo(
                     f"{path}:{conflict.line}: conflict: yours is {mine!r}, the new is {new!r}", err=True
                 )
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -316,7 +316,7 @@
 def reload(sidecar: Sidecar, path: str) -> None:
     """Read the file again and take over what can be; a file that can't be used changes nothing."""
     try:
-        changes = sidecar.reload(sidecar.part(load_valid_file(path)))
+        changes = sidecar.reload(sidecar.process_share(load_valid_file(path)))
     except RELOAD_ERRORS as error:
         log_rejected_reload(path, error)
     else:
--- a/tests/operator/test_sidecar.py
+++ b/tests/operator/test_sidecar.py
@@ -286,7 +286,7 @@
             sidecar.reload(file(new))
         got = await rig.ask(RENDER, "/frames/7")
         assert got is not None and got.status == 200
-        assert set(sidecar.carried) == {"render", "queue"}
+        assert set(sidecar.served) == {"render", "queue"}
         with pytest.raises(ValueError, match="NOWHERE is not set"):
             sidecar.reload(file(with_(PLAIN, "env:RENDER_TOKEN", "env:NOWHERE")))
         assert sidecar.file == file(PLAIN)
@@ -332,7 +332,7 @@
             await asyncio.sleep(0.05)
         await asyncio.gather(*callers)
         assert len(results) == 320 and all(r is not None and r.status == 200 for r in results)
-        assert len(sidecar.carried["render"]._older) <= 2  # engines with nothing open are let go
+        assert len(sidecar.served["render"]._older) <= 2  # engines with nothing open are let go
 
         last = asyncio.ensure_future(rig.ask(RENDER, "/frames/last"))
         await asyncio.sleep(0.0004)
@@ -367,7 +367,7 @@
             )
         )
         module.reload(sidecar, str(path))
-        assert sidecar.carried["render"].application.classes[1].deadline_ms == 3100
+        assert sidecar.served["render"].application.classes[1].deadline_ms == 3100
 
     with caplog.at_level(logging.INFO):
         play(test)
--- a/tests/operator/test_writer.py
+++ b/tests/operator/test_writer.py
@@ -176,7 +176,7 @@
     calls[0]["requests"][0]["waits_ms"] = 900.0
     merged = merge(old, mine, render(build(described(calls=calls))))
     [conflict] = merged.conflicts
-    assert "deadline_ms = 2500" in conflict.yours and "deadline_ms = 900" in conflict.new
+    assert "deadline_ms = 2500" in conflict.current and "deadline_ms = 900" in conflict.new
     assert "deadline_ms = 2500" in mine.split("\n")[conflict.line - 1 : conflict.line + 3]
 
 
