--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -130,7 +130,7 @@
     share = len(file.applications)
     limits = msgspec.structs.replace(
         file.limits,
-        connection_limits=max(callers // share, 1),
+        connections=max(callers // share, 1),
         upstream_connections=max(upstreams // share, 1),
     )
     source = Discovered(
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -52,7 +52,7 @@
         limits,
         descriptors=limits.descriptors // count,
         memory_mb=max(limits.memory_mb // count, 1),
-        connection_limits=callers // count,
+        connections=callers // count,
         upstream_connections=upstreams // count,
     )
     applications = tuple(msgspec.structs.replace(a, balancers=a.balancers * count) for a in file.applications)
