--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -60,7 +60,7 @@
     except UnreadableError as error:
         raise UnusableInputError(str(error)) from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
-        raise UnusableInputError(f"{path}: no TOML: {' '.join(str(error).split())}") from None
+        raise UnusableInputError(f"{path}: invalid TOML: {' '.join(str(error).split())}") from None
     wanted = reader.read_part(Description, data, problems)
     lines = reader.line_numbers(text)
     for problem in problems:
@@ -85,7 +85,9 @@
         if base.exists():
             merged = writer.merge(_text(base), yours, text)
             for conflict in merged.conflicts:
-                mine, new = (" / ".join(x.splitlines()) or "nothing" for x in (conflict.current, conflict.new))
+                mine, new = (
+                    " / ".join(x.splitlines()) or "nothing" for x in (conflict.current, conflict.new)
+                )
                 click.echo(
                     f"{path}:{conflict.line}: conflict: yours is {mine!r}, the new is {new!r}", err=True
                 )
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -43,8 +43,8 @@
     assert capsys.readouterr().out == (
         f"{good}: fine\n"
         f"{bad}:10: drain.serv_s: unknown key; did you mean 'serve_s'?\n"
-        f"{bad}:35: applications[0].tenants: the shares come to 110%; 100% at the most: all could not have theirs "
-        "at once\n"
+        f"{bad}:35: applications[0].tenants: the shares add up to 110%; at most 100%: otherwise the shares "
+        "can't all be used at once\n"
     )
     assert command.run(["check", str(bad), "--json"]) == 2
     told = json.loads(capsys.readouterr().out)
@@ -60,7 +60,7 @@
     bad.write_text("version = 1\nnonsense\n")
     assert command.run(["check", str(bad)]) == 2
     out = capsys.readouterr().out
-    assert out.startswith(f"{bad}:2: no TOML: ") and out.count("\n") == 1
+    assert out.startswith(f"{bad}:2: invalid TOML: ") and out.count("\n") == 1
 
 
 def test_a_warning_refuses_nothing(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
@@ -173,7 +173,7 @@
         (('service = "render"', 'servise = "render"'), "unknown key; did you mean 'service'?"),
         (('at = ["127.0.0.1:18001"]', "at = []"), "calls[0].at: must hold at least 1 entries"),
         (('path = "/frames/**"', 'path = "/frames/**"\nrepeat = "with-key"'), "a keyed class needs the time"),
-        (('"127.0.0.1:18001"', '"127.0.0.1:x"'), "no host name and port"),
+        (('"127.0.0.1:18001"', '"127.0.0.1:x"'), "not a host name and port"),
     ],
 )
 def test_a_description_that_can_not_be_is_refused(
@@ -324,7 +324,7 @@
         path.write_text("version = ")
         with run_process(path, *arguments, EDGE_CONFIG=str(config)) as process:
             _, log = process.communicate(timeout=TIMEOUT_S)
-        assert process.returncode == 2 and "no TOML" in log and "Traceback" not in log
+        assert process.returncode == 2 and "invalid TOML" in log and "Traceback" not in log
 
 
 def test_a_second_sidecar_on_a_port_ends_with_one_line(tmp_path: Path) -> None:
@@ -343,4 +343,4 @@
     path.write_text(good_file_with(("share = 0.4", "share = 0.5")))
     with run_process(path) as process:
         _, log = process.communicate(timeout=TIMEOUT_S)
-    assert process.returncode == 2 and "the shares come to 110%" in log and "Traceback" not in log
+    assert process.returncode == 2 and "the shares add up to 110%" in log and "Traceback" not in log
--- a/tests/operator/test_reader.py
+++ b/tests/operator/test_reader.py
@@ -17,13 +17,13 @@
 @pytest.mark.parametrize(
     ("data", "wanted"),
     [
-        (b"a = ", "f.toml:1: no TOML: Invalid value"),
-        (b"version = 1\nversion = 2\n", "f.toml:2: no TOML: Cannot overwrite a value"),
-        (b"version = 1\n[limits]\n[limits]\n", "f.toml:3: no TOML: Cannot declare ('limits',) twice"),
+        (b"a = ", "f.toml:1: invalid TOML: Invalid value"),
+        (b"version = 1\nversion = 2\n", "f.toml:2: invalid TOML: Cannot overwrite a value"),
+        (b"version = 1\n[limits]\n[limits]\n", "f.toml:3: invalid TOML: Cannot declare ('limits',) twice"),
         (b"version = 1\n# caf\xe9\n", "f.toml:2: not UTF-8"),
         (b"a = " + b"[" * 20_000, "f.toml: nested too deeply"),
-        (b"#" * 10_000_000, "f.toml: over 8 MB, which is too large for such a file"),
-        (b"\x00", "f.toml:1: no TOML: "),
+        (b"#" * 10_000_000, "f.toml: larger than the limit of 8 MB"),
+        (b"\x00", "f.toml:1: invalid TOML: "),
     ],
 )
 def test_what_can_not_be_parsed_is_one_line(tmp_path: Path, data: bytes, wanted: str) -> None:
--- a/tests/operator/test_sidecar.py
+++ b/tests/operator/test_sidecar.py
@@ -372,7 +372,9 @@
     with caplog.at_level(logging.INFO):
         play(test)
     assert (
-        "the shares come to 150%" in caplog.text and "no TOML" in caplog.text and "is not set" in caplog.text
+        "the shares add up to 150%" in caplog.text
+        and "invalid TOML" in caplog.text
+        and "is not set" in caplog.text
     )
     assert "limits.memory_mb: 300, and was 256 (waits for a restart)" in caplog.text
     assert "render.frame.deadline_ms: 3100, and was 3000" in caplog.text
