--- a/passpost/operator/diff.py
+++ b/passpost/operator/diff.py
@@ -1,4 +1,4 @@
-"""What two files differ in, told as behaviour, and what a running sidecar can take over at once. No I/O."""
+"""Describes the differences between two files as behaviour, and which of them need a restart. No I/O."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from passpost.operator.model import Application, Class, File, Part
 
-# Of an application, what only its listening socket and pools know: the rest is the module's, and can be swapped.
+# Settings that only an application's listening socket and pools use. All others can be replaced in a running sidecar.
 RESTART_FIELDS = frozenset({"listen", "connect_ms", "idle_s"})
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One difference. `restart`: a running sidecar goes on as before in this, until it is started again."""
+    """One difference. `restart`: a running sidecar keeps its old behaviour in this until it is restarted."""
 
     key: str
     text: str
@@ -23,28 +23,30 @@
 
 
 def difference(old: File, new: File) -> list[Change]:
-    """All that changes from one file to the other."""
+    """All changes from the old file to the new one."""
     found: list[Change] = []
     if old.name != new.name:
-        found.append(Change("name", f"the sidecar is called {new.name!r} and no longer {old.name!r}", True))
+        found.append(Change("name", f"the sidecar is named {new.name!r}, was {old.name!r}", True))
     for section in ("limits", "drain", "health"):
-        found += _fields(section, getattr(old, section), getattr(new, section), restart=section == "limits")
+        found += _field_changes(
+            section, getattr(old, section), getattr(new, section), restart=section == "limits"
+        )
     before = {a.name: a for a in old.applications}
     after = {a.name: a for a in new.applications}
     for name, application in before.items():
         if name not in after:
-            text = f"{name!r} is no longer served: what it has taken is answered, and {application.listen} is closed"
+            text = f"{name!r} is no longer served: open requests are answered, and {application.listen} is closed"
             found.append(Change(name, text))
     for name, application in after.items():
         if name not in before:
             classes = ", ".join(c.name for c in application.classes)
             found.append(Change(name, f"{name!r} is served on {application.listen} ({classes})"))
         else:
-            found += _application(before[name], application)
+            found += _application_changes(before[name], application)
     return found
 
 
-def _application(old: Application, new: Application) -> list[Change]:
+def _application_changes(old: Application, new: Application) -> list[Change]:
     found: list[Change] = []
     for info in msgspec.structs.fields(Application):
         field = info.name
@@ -53,22 +55,22 @@
             continue
         key = f"{new.name}.{field}"
         if field == "upstreams" and type(a) is not type(b):
-            text = f"upstreams come from {_kind(b)} and no longer from {_kind(a)}"
+            text = f"upstreams come from {_source_kind(b)} instead of {_source_kind(a)}"
             found.append(Change(key, text))
         elif isinstance(b, Part):
-            found += _fields(key, a, b, restart=field in RESTART_FIELDS)
+            found += _field_changes(key, a, b, restart=field in RESTART_FIELDS)
         elif field == "tenants":
-            found += _tenants(old, new)
+            found += _tenant_changes(old, new)
         elif field == "add_headers":
             found.append(
-                Change(key, f"headers added: {', '.join(b) or 'none'}; before: {', '.join(a) or 'none'}")
+                Change(key, f"added headers: {', '.join(b) or 'none'}; before: {', '.join(a) or 'none'}")
             )
         else:
-            found.append(Change(key, f"{_show(b)}, and was {_show(a)}", field in RESTART_FIELDS))
-    return found + _classes(old, new)
+            found.append(Change(key, f"{_format_value(b)}, was {_format_value(a)}", field in RESTART_FIELDS))
+    return found + _class_changes(old, new)
 
 
-def _tenants(old: Application, new: Application) -> list[Change]:
+def _tenant_changes(old: Application, new: Application) -> list[Change]:
     before = {t.name: t.share for t in old.tenants}
     after = {t.name: t.share for t in new.tenants}
     found = []
@@ -76,58 +78,58 @@
         a, b = before.get(name), after.get(name)
         key = f"{new.name}.tenants.{name}"
         if b is None:
-            found.append(Change(key, "has no share any more"))
+            found.append(Change(key, "no longer has a share"))
         elif a is None:
             found.append(Change(key, f"has a share of {b:.0%}"))
         elif a != b:
-            found.append(Change(key, f"may use {b:.0%}, and before {a:.0%}"))
+            found.append(Change(key, f"may use {b:.0%}, was {a:.0%}"))
     return found
 
 
-def _classes(old: Application, new: Application) -> list[Change]:
+def _class_changes(old: Application, new: Application) -> list[Change]:
     before, after = ({c.name: c for c in x.classes} for x in (old, new))
     found = []
     for name, cls in before.items():
         if name not in after:
-            text = f"{', '.join(cls.methods)} {cls.path} is no longer taken as {name!r}; open requests are answered"
+            text = f"{', '.join(cls.methods)} {cls.path} no longer has class {name!r}; open requests are answered"
             found.append(Change(f"{new.name}.{name}", text))
     for name, cls in after.items():
         if name not in before:
-            text = f"{', '.join(cls.methods)} {cls.path} is taken as {name!r}, {_means(cls)}"
+            text = f"{', '.join(cls.methods)} {cls.path} has class {name!r}, {_describe_repeats(cls)}"
             found.append(Change(f"{new.name}.{name}", text))
         else:
-            found += _fields(f"{new.name}.{name}", before[name], cls, restart=False)
+            found += _field_changes(f"{new.name}.{name}", before[name], cls, restart=False)
     kept = [n for n in before if n in after]
     if kept != [n for n in after if n in before]:
-        found.append(Change(f"{new.name}.classes", f"are asked in another order: {', '.join(after)}"))
+        found.append(Change(f"{new.name}.classes", f"are matched in another order: {', '.join(after)}"))
     return found
 
 
-def _means(cls: Class) -> str:
+def _describe_repeats(cls: Class) -> str:
     if cls.effect == "safe":
-        return "repeated freely"
+        return "may be repeated"
     return (
-        f"repeated for {cls.window_ms:g} ms"
+        f"may be repeated for {cls.window_ms:g} ms"
         if cls.effect == "keyed"
         else "never repeated once it may have run"
     )
 
 
-def _fields(key: str, old: Any, new: Any, restart: bool) -> list[Change]:
+def _field_changes(key: str, old: Any, new: Any, restart: bool) -> list[Change]:
     return [
-        Change(f"{key}.{info.name}", f"{_show(b)}, and was {_show(a)}", restart)
+        Change(f"{key}.{info.name}", f"{_format_value(b)}, was {_format_value(a)}", restart)
         for info in msgspec.structs.fields(type(new))
         if (a := getattr(old, info.name)) != (b := getattr(new, info.name))
     ]
 
 
-def _kind(source: Any) -> str:
+def _source_kind(source: Any) -> str:
     return {"static": "fixed addresses", "names": "names", "file": "a file", "discovery": "discovery"}[
         str(source.__struct_config__.tag)
     ]
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool) or value is None:
         return {True: "yes", False: "no", None: "none"}[value]
     if isinstance(value, float):
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -1,7 +1,7 @@
-"""The sidecar itself: every application of an operator's file, each by the engine and module of the platform.
+"""The sidecar: serves every application of an operator's file with the same engine and decision module as the platform.
 
-A reload builds all that is new first; only when nothing of it has failed does anything change. Requests that are
-open then are answered by the engine that took them, with the classes and limits under which they were taken.
+A reload first builds everything that is new and changes nothing if any part of that fails. Requests that are open at
+a reload are answered by the engine that accepted them, with the classes and limits in force at that time.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 
 log = logging.getLogger("passpost")
 
-ANSWER_GRACE_S = 0.016  # a time-out cut to the deadline may come this much late, as on the platform
-SHUTDOWN_MARGIN_S = 0.5  # between the last deadline and the end
-TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
+ANSWER_GRACE_S = 0.016  # a timeout shortened to the deadline may fire this late, as on the platform
+SHUTDOWN_MARGIN_S = 0.5  # time between the last deadline and the end of a drain
+ANSWER_TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
 
 
 class InvalidFileError(Exception):
-    """A file that can't be run; `problems` has all reasons, each with its line."""
+    """The file has errors and can't be run; `problems` holds all of them, each with its line."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
         super().__init__(f"{path}: {len(problems)} mistakes" if len(problems) != 1 else f"{path}: 1 mistake")
@@ -47,7 +47,7 @@
 
 
 def load_valid_file(path: str) -> File:
-    """A file that is fit to run; raises UnreadableError or UnusableError."""
+    """Reads a file, logs its warnings, and returns it; raises UnreadableError, or InvalidFileError if it has errors."""
     reading = load(path)
     found = findings(reading)
     errors = [p for p in found if not p.warning]
@@ -59,10 +59,11 @@
 
 
 def classify_answer(answer: Answer) -> Outcome:
-    """What an ordinary server's answer means.
+    """Classifies the answer of an ordinary server.
 
-    What it says of the request itself (2xx, 3xx, 4xx) is its answer. 5xx is a failure that may have run, and so
-    is 429: that trying again is harmless only the module may say, and a server's word for it can't be checked.
+    2xx, 3xx and 4xx concern the request itself and count as served. 5xx is an error after which the request may have
+    run, and so is 429: a server's claim that a retry is harmless can't be verified, and only the decision module may
+    decide that it is. A 503 or 504 with X-Turned-Away: 1 counts as turned away.
     """
     if answer.status in (503, 504) and any(
         n.lower() == b"x-turned-away" and v.strip() == b"1" for n, v in answer.headers
@@ -72,7 +73,7 @@
 
 
 class ServedApplication:
-    """One application: its listener, its connections, and the engine that takes its requests now."""
+    """One application: its listener, its upstream connections, and the engine that accepts its requests at present."""
 
     def __init__(
         self,
@@ -86,10 +87,11 @@
         self.application, self._host, self._module, self._draw = application, host, module, draw
         self._members: dict[str, Member] = {}
         self._addresses: dict[str, Address] = {}
-        self._older: list[Engine] = []  # that still have requests open
+        # Engines that a reload has replaced and that still have open requests.
+        self._replaced_engines: list[Engine] = []
         callers, upstreams = connection_limits(file)
         share = max(len(file.applications), 1)
-        longest, kept = max_body_bytes(file), file.limits.body_kb * 1024
+        longest, buffered_bytes = max_body_bytes(file), file.limits.body_kb * 1024
         self.upstreams = Upstreams(
             application.connect_ms / 1000,
             application.idle_s,
@@ -97,13 +99,13 @@
             host,
             classify_answer,
             longest,
-            kept,
-            TOO_LONG,
+            buffered_bytes,
+            ANSWER_TOO_LONG,
         )
         self.source = sources.make_source(application.upstreams, host)
-        self.engine = self._engine(application)
+        self.engine = self._create_engine(application)
         address = split_host_port(application.listen)
-        assert address is not None  # checked
+        assert address is not None  # guaranteed by checks.py
         self.server = Server(
             self.engine,
             address,
@@ -112,10 +114,10 @@
             RequestClassifier(application, file, f"{draw(32):08x}", environment),
             longest,
             f"{SERVER_HEADER_PREFIX}{application.name}".encode(),
-            kept,
+            buffered_bytes,
         )
 
-    def _engine(self, application: Application) -> Engine:
+    def _create_engine(self, application: Application) -> Engine:
         return Engine(
             settings(application),
             self._draw(64),
@@ -129,14 +131,15 @@
         )
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Begins to serve."""
         self.upstreams.start()
-        self.source.start(self._listed)
+        self.source.start(self._on_list_update)
         self.server.start()
 
-    def _listed(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
-        """News of the list, for every engine that may still send."""
-        if update.kind is ListKind.SAVED:  # a source begins: what the last one told stands until it tells
+    def _on_list_update(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
+        """Passes an update of the server list on to every engine that may still send."""
+        if update.kind is ListKind.SAVED:
+            # A new source starts: the previous list stays valid until the new source reports.
             update = ListUpdate(ListKind.SAVED, (*self._members.values(), *update.members))
             addresses = self._addresses | addresses
         if update.kind is not ListKind.FAILED:
@@ -146,38 +149,39 @@
                 self._members[member.server] = member
             self._members = {k: m for k, m in self._members.items() if m.readiness is not Readiness.GONE}
             self._addresses = addresses
-        self._older = [engine for engine in self._older if not engine.is_idle()]
-        for engine in (self.engine, *self._older):
+        self._replaced_engines = [engine for engine in self._replaced_engines if not engine.is_idle()]
+        for engine in (self.engine, *self._replaced_engines):
             engine.listed(update, addresses)
 
     def prepare(
         self, application: Application, file: File, environment: Mapping[str, str]
     ) -> Callable[[], None]:
-        """Build what a changed application needs; the result takes it over, and can't fail."""
-        engine = self._engine(application)
+        """Builds what a changed application needs; the returned function puts it into use and can't fail."""
+        engine = self._create_engine(application)
         callers = RequestClassifier(application, file, f"{self._draw(32):08x}", environment)
         source = None
         if application.upstreams != self.application.upstreams:
             source = sources.make_source(application.upstreams, self._host)
 
-        def take_over() -> None:
+        def put_into_use() -> None:
             self.application = application
-            if source is not None:  # before the new engine, which asks its source at once
+            if source is not None:
+                # Before the new engine is used, because an engine subscribes to its source at once.
                 self.source.stop()
                 self.source = source
             if self._members:
                 members = tuple(self._members.values())
                 engine.listed(ListUpdate(ListKind.SAVED, members), self._addresses)
-            self._older = [e for e in (*self._older, self.engine) if not e.is_idle()]
+            self._replaced_engines = [e for e in (*self._replaced_engines, self.engine) if not e.is_idle()]
             self.engine = self.server.engine = engine
             self.server.check = callers
             if source is not None:
-                source.start(self._listed)  # its first list takes the place of the last one
+                source.start(self._on_list_update)  # its first list replaces the previous one
 
-        return take_over
+        return put_into_use
 
     async def stop(self, file: File) -> None:
-        """Answer what was taken, then close everything."""
+        """Answers the accepted requests, then closes everything."""
         longest = max(c.deadline_ms for c in self.application.classes) / 1000
         await self.server.drain(file.drain.serve_s + longest + SHUTDOWN_MARGIN_S, longest + SHUTDOWN_MARGIN_S)
         self.source.stop()
@@ -185,7 +189,7 @@
 
 
 class Sidecar:
-    """All applications of a file, in one process. `draw` gives random bits, which a rehearsal gives by a seed."""
+    """All applications of a file in one process. `draw` returns random bits; a rehearsal derives them from its seed."""
 
     def __init__(
         self,
@@ -199,33 +203,34 @@
         self._draw = draw
         self.process_share: Callable[[File], File] = lambda file: file
         self.served: dict[str, ServedApplication] = {}
-        self._leaving: set[asyncio.Task[None]] = set()
+        self._stopping: set[asyncio.Task[None]] = set()
         try:
             for application in file.applications:
                 self.served[application.name] = ServedApplication(
                     application, file, environment, host, module, draw
                 )
         except Exception:
-            for carried in self.served.values():
-                carried.server.close()
+            for served_application in self.served.values():
+                served_application.server.close()
             raise
 
     def start(self) -> None:
-        """Serve from now on."""
-        for carried in self.served.values():
-            carried.start()
+        """Begins to serve."""
+        for served_application in self.served.values():
+            served_application.start()
 
     def reload(self, file: File) -> list[Change]:
-        """Take over another file, all of it that can be taken at once or nothing; the result is what changes.
+        """Applies everything in another file that doesn't need a restart, or nothing; returns the differences.
 
-        Raises OSError or ValueError, and has changed nothing, if a listener or a header can't be had.
+        Raises OSError if a listener can't be opened, or ValueError if a header can't be resolved; nothing has
+        changed then.
         """
         changes = difference(self.file, file)
-        # Pools and listeners are as large as they were made: limits wait for a restart, whatever else changes.
+        # Pools and listeners keep the size that they were created with, so new limits need a restart.
         file = msgspec.structs.replace(file, limits=self.file.limits)
         wanted = {a.name: a for a in file.applications}
         added: dict[str, ServedApplication] = {}
-        swaps: list[Callable[[], None]] = []
+        replacements: list[Callable[[], None]] = []
         try:
             for name, application in wanted.items():
                 known = self.served.get(name)
@@ -234,30 +239,30 @@
                         application, file, self._environment, self._host, self._module, self._draw
                     )
                 elif application != known.application or file.health != self.file.health:
-                    swaps.append(known.prepare(application, file, self._environment))
+                    replacements.append(known.prepare(application, file, self._environment))
         except Exception:
-            for carried in added.values():
-                carried.server.close()
+            for served_application in added.values():
+                served_application.server.close()
             raise
-        for swap in swaps:
-            swap()
+        for replace_application in replacements:
+            replace_application()
         for name in [n for n in self.served if n not in wanted]:
             task = asyncio.get_running_loop().create_task(self.served.pop(name).stop(self.file))
-            self._leaving.add(task)
-            task.add_done_callback(self._leaving.discard)
-        for name, carried in added.items():
-            self.served[name] = carried
-            carried.start()
+            self._stopping.add(task)
+            task.add_done_callback(self._stopping.discard)
+        for name, served_application in added.items():
+            self.served[name] = served_application
+            served_application.start()
         self.file = file
         return changes
 
     async def stop(self) -> None:
-        """Answer what was taken, then close everything."""
-        await asyncio.gather(*(c.stop(self.file) for c in self.served.values()), *self._leaving)
+        """Answers the accepted requests, then closes everything."""
+        await asyncio.gather(*(c.stop(self.file) for c in self.served.values()), *self._stopping)
 
 
 class EmbeddedSidecar:
-    """A sidecar beside the platform's balancer, in the same process: `python -m passpost --operator FILE`."""
+    """A sidecar in the same process as the platform's balancer: `python -m passpost --operator FILE`."""
 
     def __init__(self, path: str) -> None:
         self._path, self._sidecar = path, start(path)
@@ -270,41 +275,37 @@
 
 
 def raise_descriptor_limit(wanted: int) -> None:
-    """Let the process have so many descriptors; OSError if the machine does not."""
+    """Raises the process's soft limit of file descriptors to `wanted`; OSError if the hard limit is lower."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if wanted > soft:
         if hard != resource.RLIM_INFINITY and wanted > hard:
             raise OSError(
-                f"limits.descriptors: {wanted} wanted, and this process may have {hard} at the most"
+                f"limits.descriptors: {wanted} requested, but the hard limit of this process is {hard}"
             )
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
-def start(path: str, host: Host = HOST, part: Callable[[File], File] = lambda file: file) -> Sidecar:
-    """A sidecar by the file at `path`, serving; raises UnreadableError, UnusableError, ValueError or OSError.
+def start(path: str, host: Host = HOST, process_share: Callable[[File], File] = lambda file: file) -> Sidecar:
+    """Starts a sidecar for the file at `path`; raises UnreadableError, InvalidFileError, ValueError or OSError.
 
-    `part` gives what this process has of a file, now and when it is read again.
+    `process_share` derives from a file what this process serves of it, now and after each reload.
     """
-    file = part(load_valid_file(path))
+    file = process_share(load_valid_file(path))
     raise_descriptor_limit(file.limits.descriptors)
     sidecar = Sidecar(file, os.environ, host)
-    sidecar.process_share = part
+    sidecar.process_share = process_share
     sidecar.start()
     for application in file.applications:
         log.info("%s serves %s on %s", file.name, application.name, application.listen)
     return sidecar
 
 
-RELOAD_ERRORS = (
-    InvalidFileError,
-    UnreadableError,
-    OSError,
-    ValueError,
-)  # why a file read again may not be taken over
+# Errors after which a reload keeps the old configuration.
+RELOAD_ERRORS = (InvalidFileError, UnreadableError, OSError, ValueError)
 
 
 def log_rejected_reload(path: str, error: Exception) -> None:
-    """Say why a file that was read again is not taken over."""
+    """Logs why a file that was read again is not applied."""
     if isinstance(error, InvalidFileError):
         for problem in error.problems:
             log.error("%s:%d: %s: %s", path, problem.line, problem.key, problem.text)
@@ -314,7 +315,7 @@
 
 
 def reload(sidecar: Sidecar, path: str) -> None:
-    """Read the file again and take over what can be; a file that can't be used changes nothing."""
+    """Reads the file again and applies what doesn't need a restart; a file that can't be used changes nothing."""
     try:
         changes = sidecar.reload(sidecar.process_share(load_valid_file(path)))
     except RELOAD_ERRORS as error:
--- a/passpost/operator/writer.py
+++ b/passpost/operator/writer.py
@@ -1,8 +1,8 @@
-"""Writes the operator's file from a description, and again without losing the operator's own edits. No I/O.
+"""Generates the operator's file from a description, and regenerates it without losing the operator's edits. No I/O.
 
-The same description gives the same bytes. What was written is kept beside the file as its base: written again, the
-new text is merged with the operator's (three-way, by lines), and where both changed the same lines nothing is
-written and the conflicts are named.
+The same description always gives the same bytes. The generated text is kept next to the file as the merge base. When
+the file is generated again, a three-way merge by lines combines the new text with the operator's edits; if both
+changed the same lines, nothing is written and the conflicts are reported.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from passpost.operator.model import Application, Class, Drain, File, Names, Part, Static, Tenant
 
 FIRST_PORT = 7070
-FREELY, WITH_KEY = 3, 2  # attempts; a keyed request must not be tried as often as one that is safe
-KEY_PART = 0.9  # of the key's window within which the last attempt begins
-WIDTH = 100
+SAFE_ATTEMPTS, KEYED_ATTEMPTS = 3, 2  # attempts; a keyed request must have fewer attempts than a safe one
+KEY_WINDOW_SHARE = 0.9  # share of the key's window within which the last attempt must start
+COMMENT_WIDTH = 100
 
 
 def build(description: Description) -> File:
-    """The file that a description asks for."""
+    """Builds the file that a description asks for."""
     taken = {split_host_port(s.listen) for s in description.calls if s.listen}
     port = FIRST_PORT
     applications = []
@@ -36,8 +36,8 @@
                 port += 1
             listen, port = f"127.0.0.1:{port}", port + 1
         applications.append(_application(service, listen))
-    longest = max(c.deadline_ms for a in applications for c in a.classes) / 1000
-    serve = max(min(2.0, description.kill_after_s - longest - 1.5), 0.0)
+    longest_deadline_s = max(c.deadline_ms for a in applications for c in a.classes) / 1000
+    serve = max(min(2.0, description.kill_after_s - longest_deadline_s - 1.5), 0.0)
     return File(
         version=1,
         name=description.application,
@@ -47,15 +47,15 @@
 
 
 def _application(service: Service, listen: str) -> Application:
-    pairs = [split_host_port(a) for a in service.at]
-    fixed = all(p is not None and is_ip_address(p[0]) for p in pairs)
+    host_ports = [split_host_port(a) for a in service.at]
+    all_ip_addresses = all(p is not None and is_ip_address(p[0]) for p in host_ports)
     requests = service.requests or (Request(name="any"),)
     return Application(
         name=service.service,
         listen=listen,
-        upstreams=Static(addresses=service.at) if fixed else Names(names=service.at),
+        upstreams=Static(addresses=service.at) if all_ip_addresses else Names(names=service.at),
         classes=tuple(_class(r, service) for r in requests),
-        attempts=FREELY,
+        attempts=SAFE_ATTEMPTS,
         rate_per_s=service.rate_per_s,
     )
 
@@ -72,17 +72,20 @@
     }
     if request.repeat == "freely":
         return Class(
-            **base, effect="safe", attempts=FREELY, attempt_ms=float(int(waits / FREELY * 1000) / 1000)
+            **base,
+            effect="safe",
+            attempts=SAFE_ATTEMPTS,
+            attempt_ms=float(int(waits / SAFE_ATTEMPTS * 1000) / 1000),
         )
     if request.repeat == "never":
         return Class(**base, effect="unsafe", attempts=1)
-    attempt = min(waits / WITH_KEY, request.key_kept_ms * KEY_PART)
+    attempt = min(waits / KEYED_ATTEMPTS, request.key_kept_ms * KEY_WINDOW_SHARE)
     return Class(
         **base,
         effect="keyed",
         key_header=request.key_header,
         window_ms=request.key_kept_ms,
-        attempts=WITH_KEY,
+        attempts=KEYED_ATTEMPTS,
         attempt_ms=float(int(attempt * 1000) / 1000),
     )
 
@@ -91,54 +94,60 @@
 
 
 def render(file: File, source: str = "") -> str:
-    """The file as commented TOML: every key, those at their default commented out."""
+    """Formats the file as TOML with comments; keys that have their default value are commented out."""
     lines = [
         f"# passpost: {file.name}" + (f", written by `passpost new` from {source}" if source else ""),
         "# Check it after each edit: passpost check FILE. Start it: passpost run FILE.",
         "",
-        *_keys(file, skip=("applications", "limits", "drain", "health")),
+        *_format_keys(file, skip=("applications", "limits", "drain", "health")),
     ]
     for section in ("limits", "drain", "health"):
-        lines += ["", f"[{section}]", *_keys(getattr(file, section))]
+        lines += ["", f"[{section}]", *_format_keys(getattr(file, section))]
     for application in file.applications:
-        lines += ["", "", f"# ---- {application.name} " + "-" * max(WIDTH - 9 - len(application.name), 3)]
-        lines += ["[[applications]]", *_keys(application, skip=_TABLES)]
-        lines += ["", "[applications.upstreams]", *_keys(application.upstreams)]
+        lines += [
+            "",
+            "",
+            f"# ---- {application.name} " + "-" * max(COMMENT_WIDTH - 9 - len(application.name), 3),
+        ]
+        lines += ["[[applications]]", *_format_keys(application, skip=_TABLE_KEYS)]
+        lines += ["", "[applications.upstreams]", *_format_keys(application.upstreams)]
         for section in ("identity", "cold"):
-            lines += ["", f"[applications.{section}]", *_keys(getattr(application, section))]
+            lines += ["", f"[applications.{section}]", *_format_keys(getattr(application, section))]
         if application.add_headers:
             lines += ["", "[applications.add_headers]"]
-            lines += [f"{_quoted(k)} = {_value(v)}" for k, v in sorted(application.add_headers.items())]
+            lines += [
+                f"{_format_key(k)} = {_format_value(v)}" for k, v in sorted(application.add_headers.items())
+            ]
         for key, items in (("tenants", application.tenants), ("classes", application.classes)):
             item: Tenant | Class
             for item in items:
-                lines += ["", f"[[applications.{key}]]", *_keys(item)]
+                lines += ["", f"[[applications.{key}]]", *_format_keys(item)]
     return "\n".join(lines) + "\n"
 
 
-_TABLES = ("upstreams", "identity", "cold", "add_headers", "tenants", "classes")
+_TABLE_KEYS = ("upstreams", "identity", "cold", "add_headers", "tenants", "classes")
 
 
-def _keys(part: Part, skip: tuple[str, ...] = ()) -> list[str]:
+def _format_keys(part: Part, skip: tuple[str, ...] = ()) -> list[str]:
     lines = []
     if tag := part.__struct_config__.tag:
-        lines.append(f"kind = {_value(tag)}")
+        lines.append(f"kind = {_format_value(tag)}")
     for info in msgspec.structs.fields(type(part)):
         if info.name in skip:
             continue
         value = getattr(part, info.name)
         texts = [m.description for m in getattr(info.type, "__metadata__", ()) if m.description]
         for text in texts[-1:]:
-            lines += textwrap.wrap(text, WIDTH, initial_indent="# ", subsequent_indent="# ")
+            lines += textwrap.wrap(text, COMMENT_WIDTH, initial_indent="# ", subsequent_indent="# ")
         at_default = not info.required and value == info.default
         if value is None:
             lines.append(f"# {info.name} = ")
         else:
-            lines.append(f"{'# ' if at_default else ''}{info.name} = {_value(value)}")
+            lines.append(f"{'# ' if at_default else ''}{info.name} = {_format_value(value)}")
     return lines
 
 
-def _value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     if isinstance(value, float):
@@ -147,11 +156,13 @@
         return repr(value)
     if isinstance(value, str):
         return msgspec.json.encode(value).decode().replace("\x7f", "\\u007f")
-    return "[" + ", ".join(map(_value, value)) + "]"
+    return "[" + ", ".join(map(_format_value, value)) + "]"
 
 
-def _quoted(name: str) -> str:
-    return name if name.replace("-", "").replace("_", "").isalnum() and name.isascii() else _value(name)
+def _format_key(name: str) -> str:
+    return (
+        name if name.replace("-", "").replace("_", "").isalnum() and name.isascii() else _format_value(name)
+    )
 
 
 # ---- edits --------------------------------------------------------------------------------------
@@ -159,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Lines that both the operator and the description have changed. `line` is in the operator's file."""
+    """Lines that both the operator and the new description changed. `line` counts in the operator's file."""
 
     line: int
     current: str
@@ -168,25 +179,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """The text to write, or the conflicts that forbid it."""
+    """The merged text, and the conflicts; with a conflict, the text must not be written."""
 
     text: str
     conflicts: tuple[Conflict, ...] = ()
 
 
-def merge(base: str, yours: str, new: str) -> Merged:
-    """The new text with the operator's edits to the text before."""
-    three = [text.splitlines(keepends=True) for text in (base, yours, new)]
+def merge(base: str, current: str, new: str) -> Merged:
+    """Applies the operator's edits, the difference between `base` and `current`, to the new text."""
+    texts = [text.splitlines(keepends=True) for text in (base, current, new)]
     merged: list[str] = []
     conflicts: list[Conflict] = []
-    for kind, *region in merge3.Merge3(three[0], three[1], three[2]).merge_regions():
+    for kind, *region in merge3.Merge3(texts[0], texts[1], texts[2]).merge_regions():
         if kind == "conflict":
             _, _, first, after, new_first, new_after = region
-            mine, other = three[1][first:after], three[2][new_first:new_after]
-            conflicts.append(Conflict(first + 1, "".join(mine).strip(), "".join(other).strip()))
+            current_lines, new_lines = texts[1][first:after], texts[2][new_first:new_after]
+            conflicts.append(Conflict(first + 1, "".join(current_lines).strip(), "".join(new_lines).strip()))
         else:
             first, after = region
-            merged += {"unchanged": three[0], "a": three[1], "same": three[1], "b": three[2]}[kind][
+            merged += {"unchanged": texts[0], "a": texts[1], "same": texts[1], "b": texts[2]}[kind][
                 first:after
             ]
     return Merged("".join(merged), tuple(conflicts))
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -98,7 +98,7 @@
     )
     assert command.run(["diff", good, str(other)]) == 0
     assert capsys.readouterr().out == (
-        "limits.memory_mb: 512, and was 256  [after a restart]\nrender.frame.deadline_ms: 3100, and was 3000\n"
+        "limits.memory_mb: 512, was 256  [after a restart]\nrender.frame.deadline_ms: 3100, was 3000\n"
     )
     assert command.run(["diff", good, good]) == 0
     assert capsys.readouterr().out == "no difference in behaviour\n"
@@ -297,7 +297,7 @@
             process.send_signal(signal.SIGTERM)
             _, log = process.communicate(timeout=TIMEOUT_S)
             assert process.returncode == 0, log
-            assert "render.frame.path: '/stills/**', and was '/frames/**'" in log
+            assert "render.frame.path: '/stills/**', was '/frames/**'" in log
 
 
 def test_an_operators_file_is_carried_beside_the_platforms_balancer(tmp_path: Path) -> None:
--- a/tests/operator/test_diff.py
+++ b/tests/operator/test_diff.py
@@ -21,18 +21,18 @@
 @pytest.mark.parametrize(
     ("old", "new", "told", "restart"),
     [
-        ("deadline_ms = 3000", "deadline_ms = 2500", "render.frame.deadline_ms: 2500, and was 3000", False),
-        ("attempts = 2", "attempts = 1", "render.submit.attempts: 1, and was 2", False),
-        ("share = 0.4", "share = 0.3", "render.tenants.castle: may use 30%, and before 40%", False),
-        ("name = \"castle\"", "name = \"abbey\"", "render.tenants.castle: has no share any more", False),
-        ("\"127.0.0.1:18002\"", "\"127.0.0.1:18009\"", "render.upstreams.addresses: 127.0.0.1:18001, 127.0.0.1:18009, and was", False),
-        ("kind = \"names\"\nnames = [\"localhost:18003\"]", "kind = \"file\"\npath = \"/x\"", "queue.upstreams: upstreams come from a file and no longer from names", False),
-        ("listen = \"127.0.0.1:17071\"", "listen = \"127.0.0.1:17079\"", "queue.listen: '127.0.0.1:17079', and was '127.0.0.1:17071'", True),
-        ("memory_mb = 256", "memory_mb = 512", "limits.memory_mb: 512, and was 256", True),
-        ("name = \"studio\"", "name = \"atelier\"", "name: the sidecar is called 'atelier' and no longer 'studio'", True),
-        ("name = \"pay\"", "name = \"order\"", "render.pay: POST, DELETE /orders/** is no longer taken as 'pay'; open requests are answered", False),
-        ("X-Studio = \"north\"", "X-Studio = \"south\"", "render.add_headers: headers added: X-Studio, X-Render-Token; before:", False),
-        ("rate_per_s = 200", "rate_per_s = 200\ncopies = true", "render.copies: yes, and was no", False),
+        ("deadline_ms = 3000", "deadline_ms = 2500", "render.frame.deadline_ms: 2500, was 3000", False),
+        ("attempts = 2", "attempts = 1", "render.submit.attempts: 1, was 2", False),
+        ("share = 0.4", "share = 0.3", "render.tenants.castle: may use 30%, was 40%", False),
+        ("name = \"castle\"", "name = \"abbey\"", "render.tenants.castle: no longer has a share", False),
+        ("\"127.0.0.1:18002\"", "\"127.0.0.1:18009\"", "render.upstreams.addresses: 127.0.0.1:18001, 127.0.0.1:18009, was", False),
+        ("kind = \"names\"\nnames = [\"localhost:18003\"]", "kind = \"file\"\npath = \"/x\"", "queue.upstreams: upstreams come from a file instead of names", False),
+        ("listen = \"127.0.0.1:17071\"", "listen = \"127.0.0.1:17079\"", "queue.listen: '127.0.0.1:17079', was '127.0.0.1:17071'", True),
+        ("memory_mb = 256", "memory_mb = 512", "limits.memory_mb: 512, was 256", True),
+        ("name = \"studio\"", "name = \"atelier\"", "name: the sidecar is named 'atelier', was 'studio'", True),
+        ("name = \"pay\"", "name = \"order\"", "render.pay: POST, DELETE /orders/** no longer has class 'pay'; open requests are answered", False),
+        ("X-Studio = \"north\"", "X-Studio = \"south\"", "render.add_headers: added headers: X-Studio, X-Render-Token; before:", False),
+        ("rate_per_s = 200", "rate_per_s = 200\ncopies = true", "render.copies: yes, was no", False),
     ],
 )  # fmt: skip
 def test_a_change_is_told_as_behaviour(old: str, new: str, told: str, restart: bool) -> None:
@@ -45,7 +45,7 @@
     other = file(('name = "queue"', 'name = "archive"'))
     told = [f"{c.key}: {c.text}" for c in difference(file(('calls = ["queue"]\n', "")), other)]
     assert (
-        "queue: 'queue' is no longer served: what it has taken is answered, and 127.0.0.1:17071 is closed"
+        "queue: 'queue' is no longer served: open requests are answered, and 127.0.0.1:17071 is closed"
         in told
     )
     assert "archive: 'archive' is served on 127.0.0.1:17071 (frame)" in told
@@ -61,7 +61,7 @@
     moved = text[:first] + text[last:end] + text[first:last] + text[end:]
     a, b = (parse(t.replace('"XX"', '"frame"'), "f").file for t in (text, moved))
     assert a is not None and b is not None
-    assert [c.text for c in difference(a, b)] == ["are asked in another order: submit, pay, frame"]
+    assert [c.text for c in difference(a, b)] == ["are matched in another order: submit, pay, frame"]
 
 
 EDITS = [
--- a/tests/operator/test_sidecar.py
+++ b/tests/operator/test_sidecar.py
@@ -332,7 +332,7 @@
             await asyncio.sleep(0.05)
         await asyncio.gather(*callers)
         assert len(results) == 320 and all(r is not None and r.status == 200 for r in results)
-        assert len(sidecar.served["render"]._older) <= 2  # engines with nothing open are let go
+        assert len(sidecar.served["render"]._replaced_engines) <= 2  # engines with nothing open are let go
 
         last = asyncio.ensure_future(rig.ask(RENDER, "/frames/last"))
         await asyncio.sleep(0.0004)
@@ -376,8 +376,8 @@
         and "invalid TOML" in caplog.text
         and "is not set" in caplog.text
     )
-    assert "limits.memory_mb: 300, and was 256 (waits for a restart)" in caplog.text
-    assert "render.frame.deadline_ms: 3100, and was 3000" in caplog.text
+    assert "limits.memory_mb: 300, was 256 (waits for a restart)" in caplog.text
+    assert "render.frame.deadline_ms: 3100, was 3000" in caplog.text
 
 
 @settings(max_examples=25, deadline=None)
