--- a/passpost/operator/__init__.py
+++ b/passpost/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's file: one TOML file that says all about the applications that a sidecar carries."""
+"""The operator's file: a TOML file that configures all applications that a sidecar serves."""
--- a/passpost/operator/description.py
+++ b/passpost/operator/description.py
@@ -1,5 +1,7 @@
-"""A short description of one application: what it calls, how long it waits, what may be repeated, how much it
-sends. `writer.py` makes a whole file of it."""
+"""Defines the short description of an application from which `writer.py` generates a whole operator's file.
+
+It says which services the application calls, how long it waits, which requests may be repeated and how many it sends.
+"""
 
 from __future__ import annotations
 
--- a/passpost/operator/membership.py
+++ b/passpost/operator/membership.py
@@ -1,8 +1,8 @@
-"""The upstreams that addresses stand for, as they come and go. No I/O.
+"""Turns addresses from sources into updates of the server list. No I/O.
 
-Its rules: an upstream is its address; it is listed once, however many names lead to it. What can't be learned
-now (a name that does not resolve, a file that can't be read) keeps what was known. An address that appears after
-the first list is one that has just started, and so is cold where the application says so.
+An upstream is identified by its address and listed once, even if several names resolve to it. If a source fails (a
+name that doesn't resolve, a file that can't be read), its last addresses are kept. An address that appears after the
+first list counts as just started, and so as cold if the application configures a cold period.
 """
 
 from __future__ import annotations
@@ -14,42 +14,44 @@
 
 
 def format_address(address: Address) -> str:
-    """An address as files write it: the id of its upstream."""
+    """The text form of an address, `host:port` or `[host]:port`, which is also the id of its upstream."""
     host, port = address
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
 class Membership:
-    """What each source of addresses last told; `update` gives the module's news, or None if nothing changed."""
+    """The addresses that each source last reported."""
 
     def __init__(self) -> None:
         self._by_source: dict[str, tuple[Address, ...]] = {}
-        self._since: dict[Address, float] = {}
-        self._listed = False
+        self._up_since_ms: dict[Address, float] = {}
+        self._had_list = False
 
     def set_addresses(self, source: str, addresses: Iterable[Address]) -> None:
-        """A source (a name, a file) has told its addresses; an empty answer is kept out, as it may be a fault."""
+        """Stores the addresses of a source (a name or a file); an empty answer is ignored, as it may be a failure."""
         if found := tuple(sorted(set(addresses))):
             self._by_source[source] = found
 
     def addresses(self) -> list[Address]:
-        """All that is known, each once, in a stable order."""
+        """All known addresses, without duplicates and sorted."""
         return sorted({a for found in self._by_source.values() for a in found})
 
     def update(self, unix_ms: float) -> tuple[ListUpdate, dict[str, Address]] | None:
-        """The whole list for the module with its addresses, if it has changed."""
+        """The whole list for the decision module, with the address of each server; None if nothing changed."""
         known = self.addresses()
-        if known == list(self._since):
+        if known == list(self._up_since_ms):
             return None
-        fresh = unix_ms if self._listed else 0.0
-        self._since = {a: self._since.get(a, fresh) for a in known}
-        self._listed = self._listed or bool(known)
-        members = tuple(Member(format_address(a), up_since_ms=since) for a, since in self._since.items())
+        new_up_since_ms = unix_ms if self._had_list else 0.0
+        self._up_since_ms = {a: self._up_since_ms.get(a, new_up_since_ms) for a in known}
+        self._had_list = self._had_list or bool(known)
+        members = tuple(
+            Member(format_address(a), up_since_ms=since) for a, since in self._up_since_ms.items()
+        )
         return ListUpdate(ListKind.WHOLE, members), {format_address(a): a for a in known}
 
 
 def parse_address_list(text: str) -> list[Address]:
-    """Addresses, one a line; # begins a comment. Raises ValueError with the line that is none."""
+    """Parses a list with one address per line; # begins a comment. Raises ValueError that names an invalid line."""
     found = []
     for number, line in enumerate(text.splitlines(), 1):
         line = line.partition("#")[0].strip()
@@ -59,10 +61,10 @@
 
 
 def parse_address(text: str, where: str = "") -> Address:
-    """IP address and port; raises ValueError with a plain reason."""
+    """Parses an IP address and port; raises ValueError with the reason. `where` is a prefix for its message."""
     from passpost.operator.checks import is_ip_address, split_host_port
 
     pair = split_host_port(text)
     if pair is None or not is_ip_address(pair[0]) or not pair[1]:
-        raise ValueError(f"{where}{text[:80]!r} is no IP address and port")
+        raise ValueError(f"{where}{text[:80]!r} is not an IP address and port")
     return pair
--- a/passpost/operator/model.py
+++ b/passpost/operator/model.py
@@ -1,9 +1,10 @@
-"""The operator's file as frozen typed values: the one source for what it may hold.
+"""Defines the content of the operator's file as immutable typed structures.
 
-`reader.py` reads it, `checks.py` judges what it means, `schema` and the editors' help come from it, and so do the
-comments that `writer.py` puts above each key: the text in `Meta(description=...)` is what people read.
+`reader.py` parses the file into them and `checks.py` checks their values. The JSON Schema of `passpost schema`, and
+with it the help in editors, is generated from them, and so are the comments that `writer.py` writes above each key:
+operators read the texts in `Meta(description=...)` and the doc comments of the classes.
 
-Spans end in `_ms` or `_s`, rates in `_per_s`; a `share` lies above 0 and up to 1.
+Durations end in `_ms` or `_s` and rates in `_per_s`; a `share` is greater than 0 and at most 1.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 Name = Annotated[str, Meta(pattern=NAME)]
 Header = Annotated[str, Meta(pattern=TOKEN)]
 Method = Literal["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"]
-Path = Annotated[str, Meta(pattern=r"^/[\x21-\x22\x24-\x3e\x40-\x7e]*$", max_length=500)]  # neither # nor ?
+Path = Annotated[str, Meta(pattern=r"^/[\x21-\x22\x24-\x3e\x40-\x7e]*$", max_length=500)]  # without # and ?
 
-# Sections that other fronts will bring. They are refused by name while they are not built, so that nobody takes
-# a section that does nothing for one that works.
+# Sections reserved for features that are not implemented yet. They are refused by name, so that an operator doesn't
+# mistake a section without effect for one that works.
 RESERVED = (
     "websocket",
     "tls",
@@ -202,7 +203,7 @@
     add_headers: Annotated[
         dict[str, str],
         Meta(description="Headers for every request to its servers; secrets as `env:VARIABLE` only."),
-    ] = {}  # a frozen value: msgspec copies it
+    ] = {}  # safe as a default: msgspec copies it for each instance
 
 
 class Limits(Part, frozen=True, kw_only=True):
--- a/passpost/operator/probe.py
+++ b/passpost/operator/probe.py
@@ -1,4 +1,4 @@
-"""Looks at the machine for what a file needs there: names that resolve, ports that are free, variables, files."""
+"""Checks what a file needs on this machine: free ports, names that resolve, environment variables and files."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 from passpost.operator.model import File
 from passpost.operator.reader import Problem
 
-ASK_S = 0.5  # for a passpost that may hold the port
-SERVER_HEADER_PREFIX = "passpost/"  # how a sidecar names itself where it is asked whether it is ready
+HEALTH_CHECK_TIMEOUT_S = 0.5  # timeout of the request that finds out whether a sidecar holds a port
+# The Server header of a sidecar's answer to the health check: this prefix, then the application's name.
+SERVER_HEADER_PREFIX = "passpost/"
 
 
 def check_ports(file: File) -> list[Problem]:
-    """Listeners whose address is taken by somebody else, or is not this machine's."""
+    """Reports listen addresses that another process uses or that this machine doesn't have."""
     found = []
     for i, application in enumerate(file.applications):
         pair = split_host_port(application.listen)
@@ -35,21 +36,25 @@
             if error.errno == errno.EADDRINUSE:
                 holder = application_at(pair, file.health.path)
                 if holder == application.name:
-                    continue  # the sidecar that runs by this file
+                    continue  # held by the sidecar that runs with this file
                 text = f"{application.listen} is taken" + (f" by the sidecar of {holder!r}" if holder else "")
-                found.append(Problem(key, text, "another port, or end what listens there"))
+                found.append(Problem(key, text, "another port, or stop the process that listens there"))
             elif error.errno == errno.EADDRNOTAVAIL:
                 found.append(
-                    Problem(key, f"{pair[0]} is no address of this machine", "127.0.0.1, or one it has")
+                    Problem(
+                        key,
+                        f"{pair[0]} is not an address of this machine",
+                        "127.0.0.1, or another address of this machine",
+                    )
                 )
-            elif error.errno != errno.EACCES:  # a privileged port is told by checks.py
+            elif error.errno != errno.EACCES:  # checks.py reports privileged ports
                 found.append(Problem(key, f"{application.listen}: {error.strerror}", "another address"))
     return found
 
 
 def application_at(address: tuple[str, int], path: str) -> str:
-    """The application of the sidecar that listens there; empty if it is none."""
-    connection = http.client.HTTPConnection(*address, timeout=ASK_S)
+    """The application of the sidecar that listens at an address; empty if it is not a sidecar."""
+    connection = http.client.HTTPConnection(*address, timeout=HEALTH_CHECK_TIMEOUT_S)
     try:
         connection.request("GET", path)
         server = connection.getresponse().getheader("Server", "")
@@ -61,14 +66,14 @@
 
 
 def check_name_resolution(file: File, timeout_s: float = 10.0) -> list[Problem]:
-    """Names that do not resolve here and now; all are asked side by side."""
-    wanted = [
+    """Reports host names that don't resolve on this machine; all are resolved concurrently."""
+    names_by_key = [
         (f"applications[{i}].upstreams.names", text)
         for i, application in enumerate(file.applications)
         if isinstance(application.upstreams, model.Names)
         for text in application.upstreams.names
     ]
-    hosts = {pair[0] for _, text in wanted if (pair := split_host_port(text)) is not None}
+    hosts = {pair[0] for _, text in names_by_key if (pair := split_host_port(text)) is not None}
     if not hosts:
         return []
     pool = ThreadPoolExecutor(min(len(hosts), 32))
@@ -82,7 +87,7 @@
     pool.shutdown(wait=False, cancel_futures=True)
     return [
         Problem(key, f"{pair[0]!r} {reasons[pair[0]]}", "a name that resolves where the sidecar runs")
-        for key, text in wanted
+        for key, text in names_by_key
         if (pair := split_host_port(text)) is not None and reasons[pair[0]]
     ]
 
@@ -96,20 +101,25 @@
 
 
 def check_watched_files(file: File) -> list[Problem]:
-    """Watched files that are not there: legal, as they may come later."""
+    """Reports watched files that don't exist: only a warning, because they may be written later."""
     found = []
     for i, application in enumerate(file.applications):
         source = application.upstreams
         if isinstance(source, model.Watched) and not os.path.isfile(source.path):
-            text = f"there is no file {source.path!r}"
+            text = f"the file {source.path!r} does not exist"
             found.append(
-                Problem(f"applications[{i}].upstreams.path", text, "not ready until there is", warning=True)
+                Problem(
+                    f"applications[{i}].upstreams.path",
+                    text,
+                    "the sidecar is not ready until it exists",
+                    warning=True,
+                )
             )
     return found
 
 
 def check_environment(file: File, environment: Mapping[str, str]) -> list[Problem]:
-    """Headers whose variable is not set."""
+    """Reports headers whose environment variable is not set or has an invalid value."""
     found = []
     for i, application in enumerate(file.applications):
         for name, value in application.add_headers.items():
--- a/passpost/operator/routes.py
+++ b/passpost/operator/routes.py
@@ -1,9 +1,9 @@
-"""Which class a request has, by method and path. No I/O.
+"""Finds the class of a request by method and path. No I/O.
 
-A pattern is a path whose segments may be `*` (any one segment) and whose last may be `**` (any number of
-segments, none too). Classes are asked in the file's order and the first that fits has the request, so that a
-general pattern may stand below a special one. Two patterns can be compared: one may cover the other, or both
-may fit some path and neither cover the other, which the check refuses as nobody can tell what was meant.
+A pattern is a path in which any segment may be `*` (exactly one arbitrary segment) and the last one may be `**` (any
+number of segments, including none). Classes are tried in the file's order and the first match wins, so a general
+pattern may follow a specific one. Two patterns can be compared: one may cover the other, or they may overlap without
+either covering the other, which `checks.py` refuses because the intention is ambiguous.
 """
 
 from __future__ import annotations
@@ -16,33 +16,35 @@
 
 @lru_cache(maxsize=4096)
 def segments(pattern: str) -> tuple[str, ...]:
-    """A pattern's or a path's segments."""
+    """The segments of a pattern or a path."""
     return tuple(pattern.split("/")[1:])
 
 
 def matches(pattern: Sequence[str], path: Sequence[str]) -> bool:
-    """Whether a path has a pattern's form."""
+    """Whether a path matches a pattern; both are given as segments."""
     if pattern and pattern[-1] == "**":
         fixed = pattern[:-1]
         return len(path) >= len(fixed) and all(p in ("*", s) for p, s in zip(fixed, path, strict=False))
     return len(pattern) == len(path) and all(p in ("*", s) for p, s in zip(pattern, path, strict=True))
 
 
-def covers(general: Sequence[str], special: Sequence[str]) -> bool:
-    """Whether every path that fits `special` fits `general` too."""
+def covers(general: Sequence[str], specific: Sequence[str]) -> bool:
+    """Whether every path that matches `specific` also matches `general`."""
     if general and general[-1] == "**":
         fixed = general[:-1]
-        plain = special[:-1] if special and special[-1] == "**" else special
-        if len(plain) < len(fixed):
+        segments_before = specific[:-1] if specific and specific[-1] == "**" else specific
+        if len(segments_before) < len(fixed):
             return False
-        return all(g in ("*", s) for g, s in zip(fixed, plain, strict=False))
-    if special and special[-1] == "**":
+        return all(g in ("*", s) for g, s in zip(fixed, segments_before, strict=False))
+    if specific and specific[-1] == "**":
         return False
-    return len(general) == len(special) and all(g in ("*", s) for g, s in zip(general, special, strict=True))
+    return len(general) == len(specific) and all(
+        g in ("*", s) for g, s in zip(general, specific, strict=True)
+    )
 
 
 def overlap(a: Sequence[str], b: Sequence[str]) -> bool:
-    """Whether some path fits both."""
+    """Whether some path matches both patterns."""
     if not a or not b:
         return all(x == "**" for x in (*a, *b))
     if "**" in (a[0], b[0]):
@@ -51,7 +53,7 @@
 
 
 class Routes:
-    """The classes of one application, asked in order."""
+    """The classes of one application, tried in the file's order."""
 
     def __init__(self, classes: Iterable[Class]) -> None:
         self._by_method: dict[str, list[tuple[tuple[str, ...], Class]]] = {}
@@ -60,15 +62,15 @@
                 self._by_method.setdefault(method, []).append((segments(cls.path), cls))
 
     def find(self, method: str, path: str) -> Class | None:
-        """The class of a request; None if no class takes its path with this method."""
+        """The class of a request; None if no class accepts its method and path."""
         parts = tuple(path.split("/")[1:])
         for pattern, cls in self._by_method.get(method, ()):
             if matches(pattern, parts):
                 return cls
-        # RFC 9110, 9.1: whoever takes GET takes HEAD. A class that names HEAD itself goes before.
+        # RFC 9110, section 9.1: a server that supports GET supports HEAD. A class that lists HEAD takes precedence.
         return self.find("GET", path) if method == "HEAD" else None
 
     def accepts_path(self, path: str) -> bool:
-        """Whether any method is taken at a path."""
+        """Whether some class accepts the path, with any method."""
         parts = tuple(path.split("/")[1:])
         return any(matches(p, parts) for entries in self._by_method.values() for p, _ in entries)
--- a/passpost/operator/settings.py
+++ b/passpost/operator/settings.py
@@ -1,4 +1,4 @@
-"""An application of the file as the decision module's settings. No I/O."""
+"""Converts an application of the operator's file to settings of the decision module. No I/O."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from passpost.operator.model import Application, Class
 from umberworks.interface import Effect, RequestClass, Settings, Tenant
 
-EFFECTS = {"safe": Effect.REPEATABLE, "keyed": Effect.KEYED, "unsafe": Effect.ONCE}
-DEFAULT_AIM_SHARE = 0.5  # of the deadline, where the file names no aim
+EFFECT_BY_KEYWORD = {"safe": Effect.REPEATABLE, "keyed": Effect.KEYED, "unsafe": Effect.ONCE}
+DEFAULT_AIM_SHARE = 0.5  # default target time, as a share of the deadline
 
 
 def request_class(cls: Class) -> RequestClass:
-    """One class as the module knows it."""
+    """Converts a class of the file to a request class of the decision module."""
     return RequestClass(
         name=cls.name,
         aim_ms=cls.aim_ms or DEFAULT_AIM_SHARE * cls.deadline_ms,
         deadline_ms=cls.deadline_ms,
-        effect=EFFECTS[cls.effect],
+        effect=EFFECT_BY_KEYWORD[cls.effect],
         dedup_window_ms=cls.window_ms,
         worth=cls.worth,
         late_share=cls.late_share,
@@ -26,7 +26,7 @@
 
 
 def settings(application: Application) -> Settings:
-    """What the module of one application is told."""
+    """The decision module's settings for one application."""
     source = application.upstreams
     asked = isinstance(source, model.Discovered) and source.mode == "ask"
     return Settings(
@@ -36,7 +36,7 @@
         pulls_list=asked,
         ask_within_ms=source.ask_within_ms if isinstance(source, model.Discovered) else 10_000.0,
         max_attempts=application.attempts,
-        may_cancel=True,  # an attempt is called off by closing its connection, as HTTP/1.1 has it
+        may_cancel=True,  # with HTTP/1.1, an attempt is cancelled by closing its connection
         may_duplicate=application.copies,
         max_retry_after_ms=application.retry_after_ms,
         cold_ms=application.cold.span_ms,
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -164,11 +164,11 @@
         assert told.lists[1:] == [["10.0.0.3:80"]]
 
     play(test())
-    assert "line 2: 'render:80' is no IP address and port" in caplog.text
+    assert "line 2: 'render:80' is not an IP address and port" in caplog.text
 
 
 def test_lines_that_are_no_address_are_named() -> None:
-    with pytest.raises(ValueError, match="line 3: 'x' is no IP address and port"):
+    with pytest.raises(ValueError, match="line 3: 'x' is not an IP address and port"):
         parse_address_list("10.0.0.1:80\n#\nx")
 
 
