--- a/passpost/cli/__init__.py
+++ b/passpost/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The `passpost` command; each verb has a file of its own, loaded when it is used."""
+"""The `passpost` command. Each subcommand has its own module, which is imported when the subcommand is used."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def main() -> int:
-    """Run the command as the arguments say; exit status 0 fine, 1 failed, 2 unusable input."""
+    """Runs the command with the process's arguments; exit status 0: success, 1: failure, 2: unusable input."""
     try:
         import click  # noqa: F401
         import msgspec  # noqa: F401
--- a/passpost/cli/__main__.py
+++ b/passpost/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m passpost.cli` is the `passpost` command."""
+"""Runs the `passpost` command as `python -m passpost.cli`."""
 
 import sys
 
--- a/passpost/cli/check.py
+++ b/passpost/cli/check.py
@@ -1,4 +1,4 @@
-"""`passpost check FILE...`: every mistake at once, one sentence each."""
+"""`passpost check FILE...`: reports all mistakes in operators' files, one sentence each."""
 
 from __future__ import annotations
 
@@ -9,62 +9,66 @@
 import click
 
 from passpost.operator import probe
-from passpost.operator.checks import check as judge
+from passpost.operator.checks import check as check_values
 from passpost.operator.reader import Problem, UnreadableError, load
 
 
 @click.command(name="check")
 @click.argument("files", nargs=-1, required=True, metavar="FILE...")
-@click.option("--resolve", is_flag=True, help="Also look whether names resolve and variables are set here.")
+@click.option(
+    "--resolve", is_flag=True, help="Also check that names resolve and environment variables are set here."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print the findings as JSON.")
 def command(files: tuple[str, ...], resolve: bool, as_json: bool) -> int:
-    """Check operators' files: form, meaning, and whether their ports are free here.
+    """Check operators' files: form, values, and whether their ports are free on this machine.
 
-    Each finding has file, line, key, what is wrong and what would be right. Exit status: 0 fine (warnings may
-    have been printed), 2 a file that is refused.
+    Each finding has file, line, key, what is wrong and what would be right. Exit status: 0 no errors (warnings may
+    have been printed), 2 a file has errors.
     """
-    refused = False
-    told: list[dict[str, object]] = []
+    has_errors = False
+    findings: list[dict[str, object]] = []
     for path in files:
         try:
-            found = examine(path, resolve)
+            problems = examine(path, resolve)
         except UnreadableError as error:
-            refused = True
-            told.append({"file": path, "error": str(error)})
+            has_errors = True
+            findings.append({"file": path, "error": str(error)})
             if not as_json:
                 click.echo(str(error))
             continue
-        errors = [p for p in found if not p.warning]
-        refused = refused or bool(errors)
-        told += [{"file": path, **asdict(p)} for p in found]
+        errors = [p for p in problems if not p.warning]
+        has_errors = has_errors or bool(errors)
+        findings += [{"file": path, **asdict(p)} for p in problems]
         if not as_json:
-            for problem in found:
+            for problem in problems:
                 click.echo(format_problem(path, problem))
             if not errors:
-                more = f", {len(found)} warnings" if found else ""
-                click.echo(f"{path}: fine{more}")
+                warnings = f", {len(problems)} warnings" if problems else ""
+                click.echo(f"{path}: fine{warnings}")
     if as_json:
-        click.echo(json.dumps({"fine": not refused, "findings": told}, indent=2))
-    return 2 if refused else 0
+        click.echo(json.dumps({"fine": not has_errors, "findings": findings}, indent=2))
+    return 2 if has_errors else 0
 
 
 def examine(path: str, resolve: bool) -> list[Problem]:
-    """All findings about a file, in the order of its lines; raises UnreadableError."""
+    """All findings about a file, sorted by line; raises UnreadableError."""
     reading = load(path)
-    further: list[Problem] = []
+    value_problems: list[Problem] = []
     if reading.file is not None:
-        further = (
-            judge(reading.file) + probe.check_ports(reading.file) + probe.check_watched_files(reading.file)
+        value_problems = (
+            check_values(reading.file)
+            + probe.check_ports(reading.file)
+            + probe.check_watched_files(reading.file)
         )
         if resolve:
-            further += probe.check_name_resolution(reading.file) + probe.check_environment(
+            value_problems += probe.check_name_resolution(reading.file) + probe.check_environment(
                 reading.file, os.environ
             )
-    return sorted(dict.fromkeys(reading.all_problems(further)), key=lambda p: p.line)
+    return sorted(dict.fromkeys(reading.all_problems(value_problems)), key=lambda p: p.line)
 
 
 def format_problem(path: str, problem: Problem) -> str:
-    """A finding as one line."""
+    """Formats a finding as one line."""
     kind = "warning: " if problem.warning else ""
     fix = f"; {problem.fix}" if problem.fix else ""
     key = f"{problem.key}: " if problem.key else ""
--- a/passpost/cli/command.py
+++ b/passpost/cli/command.py
@@ -1,4 +1,4 @@
-"""The command's verbs, and how errors and exit statuses look."""
+"""The `passpost` command group: its subcommands, error messages and exit statuses."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class UnusableInputError(click.ClickException):
-    """Input that can't be used: one line, status 2."""
+    """Input that can't be used: reported as one line, with exit status 2."""
 
     exit_code = 2
 
     def show(self, file: object = None) -> None:
-        """The line."""
+        """Prints the error as one line on standard error."""
         click.echo(f"passpost: {self.message}", err=True)
 
 
-class _Verbs(click.Group):
-    """Loads a verb when it is called."""
+class _LazyGroup(click.Group):
+    """Imports the module of a subcommand when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(VERBS)
@@ -43,13 +43,13 @@
         return command
 
 
-@click.command(cls=_Verbs, context_settings={"help_option_names": ["-h", "--help"]})
+@click.command(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 def passpost() -> None:
     """passpost: a load balancer for services that call services."""
 
 
 def run(arguments: list[str]) -> int:
-    """Run the command; the result is its exit status."""
+    """Runs the command and returns its exit status."""
     try:
         result = passpost.main(args=arguments, prog_name="passpost", standalone_mode=False)
     except click.exceptions.NoArgsIsHelpError as error:
--- a/passpost/cli/diff.py
+++ b/passpost/cli/diff.py
@@ -1,4 +1,4 @@
-"""`passpost diff A B`: what changes from one operator's file to another, as behaviour."""
+"""`passpost diff A B`: describes the differences between two operator's files as behaviour."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 @click.argument("b")
 @click.option("--json", "as_json", is_flag=True, help="Print the changes as JSON.")
 def command(a: str, b: str, as_json: bool) -> int:
-    """Say what a sidecar would do otherwise with file B than with file A, and what needs a restart.
+    """Describe how a sidecar behaves differently with file B than with file A, and what needs a restart.
 
-    Exit status: 0 told (also when nothing differs), 2 a file that can't be used.
+    Exit status: 0 compared (even if nothing differs), 2 a file can't be used.
     """
     try:
         changes = difference(load_valid_file(a), load_valid_file(b))
--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -1,4 +1,4 @@
-"""`passpost explore SCRIPT`: play many seeds with failures drawn at random, and shrink what breaks a rule."""
+"""`passpost explore SCRIPT`: runs a scenario with many seeds and random failures; shrinks one that breaks a rule."""
 
 from __future__ import annotations
 
@@ -17,24 +17,34 @@
 @click.command(name="explore")
 @click.argument("script")
 @click.option(
-    "--seeds", type=click.IntRange(1, 10_000_000), default=100, show_default=True, help="How many nights."
+    "--seeds",
+    type=click.IntRange(1, 10_000_000),
+    default=100,
+    show_default=True,
+    help="How many runs, each with its own seed.",
 )
 @click.option("--first", type=int, default=1, show_default=True, help="The first seed.")
 @click.option(
-    "--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Processes side by side."
+    "--jobs", type=click.IntRange(1, 256), default=1, show_default=True, help="Number of parallel processes."
 )
 @click.option(
-    "--faults", type=click.IntRange(0, 50), default=4, show_default=True, help="Failures added, at most."
+    "--faults",
+    type=click.IntRange(0, 50),
+    default=4,
+    show_default=True,
+    help="Maximum number of added failures.",
+)
+@click.option(
+    "--out", metavar="FILE.toml", help="Output file for the shrunk scenario  [default: found-SEED.toml]"
 )
-@click.option("--out", metavar="FILE.toml", help="Where the shrunk night goes  [default: found-SEED.toml]")
 @click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def command(
     script: str, seeds: int, first: int, jobs: int, faults: int, out: str | None, as_json: bool
 ) -> int:
-    """Play SCRIPT's night under many seeds, each with failures of its own that overlap.
+    """Run SCRIPT's scenario with many seeds, each with its own random failures, which may overlap.
 
-    Stops at the first broken rule or crash, leaves out whatever failure it does not need, and writes the
-    night as a script that replays it. Exit status: 0 nothing found, 1 found, 2 a script that can't be used.
+    Stops at the first broken rule or crash, removes every failure that isn't needed to reproduce it, and writes
+    the rest as a script that replays it. Exit status: 0 nothing found, 1 found, 2 a script that can't be used.
     """
     try:
         base = load(script)
@@ -51,7 +61,7 @@
         )
     if found is None:
         click.echo(
-            json.dumps({"played": played, "found": None}) if as_json else f"{played} nights, no rule broken"
+            json.dumps({"played": played, "found": None}) if as_json else f"{played} runs, no rule broken"
         )
         return 0
     path = Path(out or f"found-{found.seed}.toml")
@@ -63,7 +73,7 @@
         result = {"played": played, "found": {"seed": found.seed, "what": found.what, "script": str(path)}}
         click.echo(json.dumps(result))
     else:
-        click.echo(f"seed {found.seed}, after {played} nights: {found.what}")
+        click.echo(f"seed {found.seed}, after {played} runs: {found.what}")
         click.echo(f"shrunk to {len(found.script.events)} failures (of {found.drawn}); replay it with:")
         click.echo(f"  passpost rehearse {path}")
     return 1
--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -1,4 +1,4 @@
-"""`passpost logs FOLDER`: the balancers' traces added up, or one request followed."""
+"""`passpost logs FOLDER`: totals of the balancers' traces, or the trace of one request or server."""
 
 from __future__ import annotations
 
@@ -14,43 +14,54 @@
 from passpost.trace.folder import NoTraceError, steps
 from passpost.trace.tables import Row, Step, add_up, around, follow
 
-MOST_ROWS = 20  # of upstreams, unless all are asked for
+MAX_ROWS = 20  # of upstreams, without --all
 
 
 @click.command(name="logs")
 @click.argument("folder", type=click.Path(path_type=Path), metavar="FOLDER")
-@click.option("--follow", "txn", metavar="ID", help="Only the request with this X-Txn, balancer by balancer.")
+@click.option("--follow", "txn", metavar="ID", help="Show only the request with this X-Txn, by balancer.")
 @click.option(
-    "--server", metavar="ID", help="What was heard of this server's leaving, and what went out to it."
+    "--server",
+    metavar="ID",
+    help="Show what balancers heard of this server's leaving, and what they sent to it.",
 )
 @click.option(
-    "--balancer", metavar="NAME", help="With --server: only this one's sends, and its calls for the list."
+    "--balancer",
+    metavar="NAME",
+    help="With --server: only what this balancer sent, and its calls for the list.",
 )
 @click.option(
-    "--all", "whole", is_flag=True, help=f"All upstreams, not only the {MOST_ROWS} that failed most."
+    "--all",
+    "show_all",
+    is_flag=True,
+    help=f"Show all upstreams, not only the {MAX_ROWS} with the most failures.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def command(
-    folder: Path, txn: str | None, server: str | None, balancer: str | None, whole: bool, as_json: bool
+    folder: Path, txn: str | None, server: str | None, balancer: str | None, show_all: bool, as_json: bool
 ) -> int:
-    """Add up what PASSPOST_TRACE=1 made the balancers write into FOLDER/*.log.
+    """Summarize the trace lines that balancers with PASSPOST_TRACE=1 wrote into FOLDER/*.log.
 
-    Prints requests by second, by the reason for which they were not served, and attempts by upstream. Exit status: 0
-    fine, 1 if no balancer has written of the request or the server, 2 if there is no folder or no such lines in it.
+    Prints requests by second, requests not served by reason, and attempts by upstream. Exit status: 0 success, 1 no
+    balancer has traced the request or server, 2 the folder doesn't exist or has no trace lines.
     """
     if balancer is not None and server is None:
-        raise UnusableInputError("--balancer goes with --server")
+        raise UnusableInputError("--balancer needs --server")
     if txn is not None and server is not None:
-        raise UnusableInputError("--follow and --server don't go together")
+        raise UnusableInputError("--follow and --server can't be combined")
     try:
         if server is not None:
-            return _around(folder, server, balancer, as_json)
-        return _follow(folder, txn, as_json) if txn is not None else _add_up(folder, whole, as_json)
+            return _print_server(folder, server, balancer, as_json)
+        return (
+            _print_request(folder, txn, as_json)
+            if txn is not None
+            else _print_totals(folder, show_all, as_json)
+        )
     except NoTraceError as error:
         raise UnusableInputError(str(error)) from None
 
 
-def _add_up(folder: Path, whole: bool, as_json: bool) -> int:
+def _print_totals(folder: Path, show_all: bool, as_json: bool) -> int:
     tables = add_up(steps(folder))
     if as_json:
         named = {n: [{"name": r[0], **r[1]} for r in rows] for n, rows in asdict(tables).items()}
@@ -59,10 +70,10 @@
     console = Console(highlight=False)
     console.print(_table("second", tables.seconds))
     console.print(_table("not served", tables.reasons))
-    shown = tables.upstreams if whole else tables.upstreams[:MOST_ROWS]
+    shown = tables.upstreams if show_all else tables.upstreams[:MAX_ROWS]
     console.print(_table("upstream", shown))
     if len(shown) < len(tables.upstreams):
-        console.print(f"{len(tables.upstreams) - len(shown)} upstreams more: --all")
+        console.print(f"{len(tables.upstreams) - len(shown)} more upstreams: --all")
     return 0
 
 
@@ -74,37 +85,37 @@
     return table
 
 
-def _follow(folder: Path, txn: str, as_json: bool) -> int:
+def _print_request(folder: Path, txn: str, as_json: bool) -> int:
     parts = follow(steps(folder), txn)
     if as_json:
-        click.echo(json.dumps([_told(part) for part in parts], indent=1))
+        click.echo(json.dumps([_step_as_json(part) for part in parts], indent=1))
     elif not parts:
-        click.echo(f"no balancer has written of {txn}")
+        click.echo(f"no balancer has traced {txn}")
     else:
         for part in parts:
-            _say(part)
+            _print_step(part)
     return 0 if parts else 1
 
 
-def _around(folder: Path, server: str, balancer: str | None, as_json: bool) -> int:
+def _print_server(folder: Path, server: str, balancer: str | None, as_json: bool) -> int:
     moments = around(steps(folder), server, balancer)
     if as_json:
         click.echo(json.dumps([asdict(moment) for moment in moments], indent=1))
     elif not moments:
-        click.echo(f"no balancer has written of {server}")
+        click.echo(f"no balancer has traced {server}")
     else:
         for one in moments:
-            late = f" [{one.late_ms} ms after it was first heard]" if one.late_ms else ""
+            late = f" [{one.late_ms} ms after the first notice]" if one.late_ms else ""
             click.echo(f"{one.at_ms} ms {one.balancer}: {one.text}{late}")
     return 0 if moments else 1
 
 
-def _told(step: Step) -> dict[str, object]:
+def _step_as_json(step: Step) -> dict[str, object]:
     entry = step.entry
     return {"balancer": step.balancer, **asdict(entry), "end": entry.end.value}
 
 
-def _say(step: Step) -> None:
+def _print_step(step: Step) -> None:
     entry = step.entry
     click.echo(
         f"{step.balancer}: {entry.txn} {entry.class_name} at {entry.at_ms} ms:"
--- a/passpost/cli/new.py
+++ b/passpost/cli/new.py
@@ -1,4 +1,4 @@
-"""`passpost new`: a whole operator's file from a short description, or from questions."""
+"""`passpost new`: generates an operator's file from a short description or from answers in the terminal."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 
 @click.command(name="new")
 @click.argument("description", required=False)
-@click.option("-o", "--output", metavar="FILE", help="Where the file goes  [default: standard output]")
-@click.option("--ask", is_flag=True, help="Ask in the terminal instead of reading a description.")
-@click.option("--force", is_flag=True, help="Write over FILE, edits and all.")
+@click.option("-o", "--output", metavar="FILE", help="Output file  [default: standard output]")
+@click.option("--ask", is_flag=True, help="Ask questions in the terminal instead of reading a description.")
+@click.option("--force", is_flag=True, help="Overwrite FILE and lose your edits to it.")
 def command(description: str | None, output: str | None, ask: bool, force: bool) -> int:
-    """Write an operator's file from a DESCRIPTION: commented, complete, and checked.
+    """Generate a complete operator's file with comments from a DESCRIPTION, and check it.
 
-    Written again to the same FILE, your own edits to it stay. What was written last is kept beside it, in
-    .FILE.base.
+    If FILE was generated before, your edits to it are kept. The generated text is stored next to it, in
+    .FILE.base, to find these edits the next time.
 
     Exit status: 0 written, 1 your edits and the new text change the same lines (nothing is
     written), 2 a description that can't be used.
     """
     if (description is None) == (not ask):
-        raise UnusableInputError("name a DESCRIPTION, or give --ask")
+        raise UnusableInputError("give either a DESCRIPTION or --ask")
     if ask:
-        wanted, source = ask_description(), "questions"
+        parsed, source = ask_description(), "questions"
     else:
         assert description is not None
-        wanted, source = read(description), os.path.basename(description)
-    text = writer.render(writer.build(wanted), source)
+        parsed, source = read(description), os.path.basename(description)
+    text = writer.render(writer.build(parsed), source)
     found = findings(text, output or "the file")
     if errors := [p for p in found if not p.warning]:
         for problem in errors:
             click.echo(f"passpost: {source}: {problem.text}; {problem.fix}", err=True)
-        raise UnusableInputError(f"{source}: what it describes can't be")
+        raise UnusableInputError(f"{source}: the description gives an invalid file")
     if output is None:
         click.echo(text, nl=False)
         return 0
@@ -52,7 +52,7 @@
 
 
 def read(path: str) -> Description:
-    """The description in a file."""
+    """Reads the description in a file; raises UnusableInputError, after printing each mistake on standard error."""
     problems: list[Problem] = []
     try:
         text = reader.read_bytes(path).decode("utf-8")
@@ -61,43 +61,46 @@
         raise UnusableInputError(str(error)) from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError, RecursionError) as error:
         raise UnusableInputError(f"{path}: invalid TOML: {' '.join(str(error).split())}") from None
-    wanted = reader.read_part(Description, data, problems)
+    parsed = reader.read_part(Description, data, problems)
     lines = reader.line_numbers(text)
     for problem in problems:
         click.echo(format_problem(path, reader.with_line(problem, lines)), err=True)
-    if problems or wanted is None:
+    if problems or parsed is None:
         raise UnusableInputError(f"{path}: {len(problems)} mistake{'s' if len(problems) != 1 else ''}")
-    assert isinstance(wanted, Description)
-    return wanted
+    assert isinstance(parsed, Description)
+    return parsed
 
 
 def findings(text: str, path: str) -> list[Problem]:
-    """What `check` would say of a text."""
+    """The findings of `check` about a text."""
     return checks.findings(reader.parse(text, path))
 
 
 def write_merged(path: Path, text: str, force: bool) -> int:
-    """Write the file, keeping the operator's edits."""
-    base = path.with_name(f".{path.name}.base")
+    """Writes the file, merged with the operator's edits unless `force` is set; returns the exit status."""
+    base_path = path.with_name(f".{path.name}.base")
     result = text
     if path.exists() and not force:
-        yours = _text(path)
-        if base.exists():
-            merged = writer.merge(_text(base), yours, text)
+        current_text = _read_text(path)
+        if base_path.exists():
+            merged = writer.merge(_read_text(base_path), current_text, text)
             for conflict in merged.conflicts:
-                mine, new = (
+                current, new = (
                     " / ".join(x.splitlines()) or "nothing" for x in (conflict.current, conflict.new)
                 )
                 click.echo(
-                    f"{path}:{conflict.line}: conflict: yours is {mine!r}, the new is {new!r}", err=True
+                    f"{path}:{conflict.line}: conflict: your edit is {current!r}, the new text is {new!r}",
+                    err=True,
                 )
             if merged.conflicts:
-                click.echo(f"passpost: {path}: not written; settle these by hand, or --force", err=True)
+                click.echo(
+                    f"passpost: {path}: not written; resolve the conflicts by hand, or use --force", err=True
+                )
                 return 1
             result = merged.text
-        elif yours != text:
+        elif current_text != text:
             click.echo(
-                f"passpost: {path}: is there and was not written by `passpost new`; --force to lose it",
+                f"passpost: {path}: already exists and was not written by `passpost new`; use --force to overwrite it",
                 err=True,
             )
             return 1
@@ -108,14 +111,14 @@
         return 1
     try:
         replace_file(path, result)
-        replace_file(base, text)
+        replace_file(base_path, text)
     except OSError as error:
         raise UnusableInputError(f"{path}: {error.strerror}") from None
     click.echo(f"{path}: written and checked; start it with: passpost run {path}")
     return 0
 
 
-def _text(path: Path) -> str:
+def _read_text(path: Path) -> str:
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -123,43 +126,43 @@
 
 
 def replace_file(path: Path, text: str) -> None:
-    """Write in one go: whoever reads the file has the old one or the new, whole."""
-    handle, aside = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
+    """Replaces a file atomically: a reader gets either the old or the new content, complete."""
+    descriptor, temporary_path = tempfile.mkstemp(dir=path.parent, prefix=f".{path.name}.")
     try:
-        with os.fdopen(handle, "w", encoding="utf-8") as file:
+        with os.fdopen(descriptor, "w", encoding="utf-8") as file:
             file.write(text)
             file.flush()
             os.fsync(file.fileno())
-        os.chmod(aside, (path.stat().st_mode & 0o777) if path.exists() else 0o644)
-        os.replace(aside, path)
+        os.chmod(temporary_path, (path.stat().st_mode & 0o777) if path.exists() else 0o644)
+        os.replace(temporary_path, path)
     except BaseException:
-        os.unlink(aside)
+        os.unlink(temporary_path)
         raise
 
 
 def ask_description() -> Description:
-    """Ask for a description; every answer has a default that can be taken by Enter."""
-    data: dict[str, Any] = {
-        "application": click.prompt("What do you call your software", default="my-software")
-    }
+    """Asks for a description in the terminal; most questions have a default that Enter accepts."""
+    data: dict[str, Any] = {"application": click.prompt("Name of your software", default="my-software")}
     data["calls"] = []
     while True:
         service: dict[str, Any] = {
-            "service": click.prompt("A service that it calls", default="service"),
-            "at": click.prompt("Where is it (names or addresses with ports, by commas)")
+            "service": click.prompt("Name of a service that it calls", default="service"),
+            "at": click.prompt("Its servers (host names or IP addresses with ports, separated by commas)")
             .replace(" ", "")
             .split(","),
             "waits_ms": click.prompt(
-                "How many milliseconds do you wait for an answer", default=2000.0, type=float
+                "How many milliseconds to wait for an answer", default=2000.0, type=float
             ),
-            "rate_per_s": click.prompt("How many requests a second (0: not known)", default=0.0, type=float),
+            "rate_per_s": click.prompt("Requests per second (0: not known)", default=0.0, type=float),
             "requests": [],
         }
-        while click.confirm("Describe a kind of request (else all GETs are repeated freely)", default=False):
+        while click.confirm(
+            "Describe a kind of request (otherwise every GET may be repeated)", default=False
+        ):
             request: dict[str, Any] = {
-                "name": click.prompt("  What do you call it"),
+                "name": click.prompt("  Its name"),
                 "path": click.prompt("  Its paths (* one segment, ** at the end any number)", default="/**"),
-                "methods": click.prompt("  Its methods, by commas", default="GET")
+                "methods": click.prompt("  Its methods, separated by commas", default="GET")
                 .replace(" ", "")
                 .upper()
                 .split(","),
@@ -170,9 +173,9 @@
                 ),
             }
             if request["repeat"] == "with-key":
-                request["key_header"] = click.prompt("  Which header has its key", default="Idempotency-Key")
+                request["key_header"] = click.prompt("  Header with its key", default="Idempotency-Key")
                 request["key_kept_ms"] = click.prompt(
-                    "  For how many milliseconds is it remembered", type=float
+                    "  For how many milliseconds servers remember the key", type=float
                 )
             service["requests"].append(request)
         data["calls"].append(service)
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`passpost rehearse SCRIPT`: play a night and say what came of it."""
+"""`passpost rehearse SCRIPT`: runs a scenario and prints its figures."""
 
 from __future__ import annotations
 
@@ -21,24 +21,23 @@
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
-MOST_STORIES = 3
+MAX_SHOWN_FINDINGS = 3
 
 
 @click.command(name="rehearse")
 @click.argument("script")
-@click.option("--seed", type=int, help="Another draw of the same night; the script's own by default.")
-@click.option("--live", is_flag=True, help="Real balancer processes on loopback, in real time.")
+@click.option("--seed", type=int, help="Seed of the random draws; by default that of the script.")
+@click.option("--live", is_flag=True, help="Run real balancer processes on loopback, in real time.")
 @click.option("--decisions", metavar="FILE", help="Write one line for each routing decision.")
-@click.option("--report", "page", metavar="FILE.html", help="Write a page with plots over time.")
+@click.option("--report", "page", metavar="FILE.html", help="Write a report with plots over time.")
 @click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
 def command(
     script: str, seed: int | None, live: bool, decisions: str | None, page: str | None, as_json: bool
 ) -> int:
-    """Play the night that SCRIPT describes, and watch the four rules from outside.
+    """Run the scenario that SCRIPT describes, and check the rules from outside the balancers.
 
-    Without --live it is played in simulated time: minutes take seconds, and the same script and seed give the
-    same decisions to the byte. Exit status: 0 all rules kept, 1 a rule broken or a crash, 2 a script that
-    can't be used.
+    Without --live it runs in simulated time: minutes take seconds, and the same script and seed give byte-identical
+    decisions. Exit status: 0 all rules kept, 1 a rule broken or a crash, 2 a script that can't be used.
     """
     try:
         night_script = load(script)
@@ -46,7 +45,7 @@
         raise UnusableInputError(str(error)) from None
     chosen = night_script.seed if seed is None else seed
     with ExitStack() as stack:
-        sink = _open(decisions, stack)
+        sink = _open_output(decisions, stack)
         console = Console(stderr=True)
         bar = Progress(
             TextColumn("{task.description}"), BarColumn(), TextColumn("{task.percentage:3.0f}%"),
@@ -90,7 +89,7 @@
     return 0 if night.is_good() else 1
 
 
-def _open(path: str | None, stack: ExitStack) -> TextIO | None:
+def _open_output(path: str | None, stack: ExitStack) -> TextIO | None:
     if path is None:
         return None
     try:
@@ -100,7 +99,7 @@
 
 
 def show(night: Night, figures: Summary) -> None:
-    """The table, and the story of whatever went against the rules."""
+    """Prints the table of figures, the first faults, and the first broken rules with the events that led to them."""
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 100)
     table = Table(title=f"{figures.title} (seed {figures.seed})", title_justify="left")
     table.add_column("")
@@ -110,20 +109,20 @@
         table.add_row(*line.cells())
     console.print(table)
     console.print(
-        f"{figures.attempts_each:.2f} attempts and {figures.tries_each:.2f} tries a request; "
-        f"{figures.seconds:.0f} s played in {figures.wall_s:.1f} s"
+        f"{figures.attempts_each:.2f} attempts and {figures.tries_each:.2f} tries per request; "
+        f"{figures.seconds:.0f} s of the scenario in {figures.wall_s:.1f} s"
     )
     if figures.left_waiting:
         console.print(
-            f"{figures.left_waiting} clients left while they waited; "
-            f"{figures.sent_after} of them were sent for 0.3 s later"
+            f"{figures.left_waiting} clients disconnected while they waited; "
+            f"{figures.sent_after} of their requests were sent to servers 0.3 s later or after that"
         )
     for rule, text in RULES.items():
         broken = figures.breaks[rule]
         console.print(f"  {text}: " + (f"[bold red]broken {broken} times[/]" if broken else "[green]kept[/]"))
-    for fault in night.faults[:MOST_STORIES]:
+    for fault in night.faults[:MAX_SHOWN_FINDINGS]:
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
-    for found in night.breaks[:MOST_STORIES]:
+    for found in night.breaks[:MAX_SHOWN_FINDINGS]:
         console.print(f"\n[bold red]{RULES[found.rule]}:[/] {found.text}")
         for row in found.story:
             console.print(f"  {row}", markup=False)
--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -1,4 +1,4 @@
-"""`passpost run FILE`: the sidecar."""
+"""`passpost run FILE`: runs the sidecar."""
 
 from __future__ import annotations
 
@@ -24,18 +24,18 @@
     type=click.IntRange(1, 256),
     default=1,
     show_default=True,
-    help="So many processes share the listeners, limits and shares, for machines with as many cores.",
+    help="Number of processes that share the listeners, limits and shares, for machines with as many cores.",
 )
 def command(file: str, workers: int) -> int:
-    """Serve the applications of an operator's FILE until SIGTERM, which answers what was taken first.
+    """Serve the applications of an operator's FILE until SIGTERM; accepted requests are answered before the exit.
 
-    SIGHUP reads FILE again: what can change at once does, the rest is logged as waiting for a restart, and a
+    SIGHUP reads FILE again: what can change at once is applied, the rest is logged as waiting for a restart, and a
     file with a mistake changes nothing.
 
-    With several workers one that ends unasked is started again, SIGTERM drains them one after the other as far as
-    `drain.kill_after_s` allows, and SIGHUP renews them in turn where a change needs a restart.
+    With several workers, one that exits unexpectedly is started again, SIGTERM drains them one after the other as far
+    as `drain.kill_after_s` allows, and SIGHUP replaces them one by one if a change needs a restart.
 
-    Exit status: 0 ended as told, 1 failed (a port is taken), 2 a file that can't be used.
+    Exit status: 0 stopped by a signal, 1 failed (such as a port in use), 2 a file that can't be used.
     """
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
@@ -57,14 +57,14 @@
 
 
 async def serve(path: str) -> None:
-    """Run until SIGTERM or SIGINT."""
+    """Runs the sidecar until SIGTERM or SIGINT."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    running: list[sidecar.Sidecar] = []
+    sidecars: list[sidecar.Sidecar] = []
     before_stop = ExitStack()
 
     def reload() -> None:
-        for one in running:
-            sidecar.reload(one, path)
+        for running_sidecar in sidecars:
+            sidecar.reload(running_sidecar, path)
 
     signals = Signals(loop, reload, stop.set)
     if "PASSPOST_WORKERS" in os.environ:
@@ -72,13 +72,13 @@
 
         worker = Worker(os.environ)
         worker.follow_parent(stop)
-        running.append(sidecar.start(path, worker.host, lambda file: divided(file, worker.count)))
+        sidecars.append(sidecar.start(path, worker.host, lambda file: divided(file, worker.count)))
         worker.is_ready()
         before_stop.callback(worker.host.release)
     else:
-        running.append(sidecar.start(path))
+        sidecars.append(sidecar.start(path))
     await stop.wait()
     logging.getLogger("passpost").info("stopping: finishing what was taken")
     before_stop.close()
-    await running[0].stop()
+    await sidecars[0].stop()
     signals.ignore()
--- a/passpost/cli/schema.py
+++ b/passpost/cli/schema.py
@@ -1,4 +1,4 @@
-"""`passpost schema`: the operator's file as JSON Schema, for editors."""
+"""`passpost schema`: prints the JSON Schema of the operator's file, for editors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 @click.command(name="schema")
-@click.option("--description", is_flag=True, help="Of the description that `passpost new` takes instead.")
+@click.option(
+    "--description",
+    is_flag=True,
+    help="Print the schema of the description that `passpost new` reads instead.",
+)
 def command(description: bool) -> int:
     """Print the JSON Schema (2020-12) of the operator's file.
 
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -103,7 +103,7 @@
 
 def test_exploring_says_what_it_played(night: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert command.run(["explore", night, "--seeds", "2"]) == 0
-    assert capsys.readouterr().out == "2 nights, no rule broken\n"
+    assert capsys.readouterr().out == "2 runs, no rule broken\n"
     assert command.run(["explore", night, "--seeds", "2", "--json"]) == 0
     assert json.loads(capsys.readouterr().out) == {"played": 2, "found": None}
 
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -151,7 +151,7 @@
     capsys.readouterr()
     assert command.run(["new", str(source), "-o", str(target)]) == 1
     assert (
-        "conflict: yours is 'path = \"/mine/**\"', the new is 'path = \"/theirs/**\"'"
+        "conflict: your edit is 'path = \"/mine/**\"', the new text is 'path = \"/theirs/**\"'"
         in capsys.readouterr().err
     )
     assert target.read_text() == before
@@ -164,7 +164,7 @@
     source.write_text(DESCRIPTION)
     target.write_text("# mine\n")
     assert command.run(["new", str(source), "-o", str(target)]) == 1
-    assert target.read_text() == "# mine\n" and "--force to lose it" in capsys.readouterr().err
+    assert target.read_text() == "# mine\n" and "use --force to overwrite it" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize(
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -134,7 +134,7 @@
     assert command.run(["logs", str(tmp_path), "--follow", "b"]) == 0
     assert "n1: b read at 6200 ms: refused after 10 ms\n  s1: unreached after 1 ms" in capsys.readouterr().out
     assert command.run(["logs", str(tmp_path), "--follow", "zz"]) == 1
-    assert capsys.readouterr().out == "no balancer has written of zz\n"
+    assert capsys.readouterr().out == "no balancer has traced zz\n"
 
 
 LEAVING: list[Step | Asked] = [
@@ -163,7 +163,7 @@
     out = capsys.readouterr().out.splitlines()
     assert out[1] == "6000 ms n1: d:1 after 4, wait 10000 ms: answered after 1000 ms; s0 is leaving"
     assert out[3].endswith(
-        "a chosen; went out after 2 ms, served after 9 ms [1510 ms after it was first heard]"
+        "a chosen; went out after 2 ms, served after 9 ms [1510 ms after the first notice]"
     )
     assert command.run(["logs", str(tmp_path), "--server", "zz"]) == 1
     assert command.run(["logs", str(tmp_path), "--server", "s0", "--json"]) == 0
