--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -12,8 +12,8 @@
 from passpost.callers.connection import Connection
 from passpost.engine import Engine
 from passpost.host import HOST, Host
-from passpost.http1 import MAX_LONG, Address, Headers
-from passpost.streams import LONG
+from passpost.http1 import MAX_STREAM_BYTES, Address, Headers
+from passpost.streams import STREAM_ABOVE_BYTES
 from passpost.validation import Check
 from passpost.validation import check as platform_check
 
@@ -42,9 +42,9 @@
         max_open: int,
         host: Host = HOST,
         check: Check | None = None,
-        max_body: int = MAX_LONG,
+        max_body: int = MAX_STREAM_BYTES,
         name: bytes = b"",
-        kept: int = LONG,
+        kept: int = STREAM_ABOVE_BYTES,
     ) -> None:
         """Without `check` callers are the platform's; with a `name` answers on health say who gives them.
 
@@ -57,7 +57,7 @@
         self.host, self.monotonic = host, host.monotonic
         self.draining, self.closing = False, False  # not ready any more; each answer closes its connection
         self._ends, self._dealt_until = math.inf, math.inf
-        self._max_open, self._at_once = max_open, host.accept_at_once
+        self._max_open, self._at_once = max_open, host.accepts_per_turn
         self.connections: dict[Connection, None] = {}  # in order of coming: a set's would be chance
         self.open_ids: dict[bytes, Connection] = {}
         self._accepting = False
@@ -230,7 +230,7 @@
         At the limit the connection that is worth least makes room, one a turn, as its descriptor is free only after
         that (in a drain more, as time is short); if all are busy, the queue waits.
         """
-        for _ in range(Host.accept_at_once if self.draining else self._at_once):
+        for _ in range(Host.accepts_per_turn if self.draining else self._at_once):
             full = len(self.connections) >= self._max_open
             spare = self._spare() if full else None
             if full and spare is None:
--- a/passpost/operator/callers.py
+++ b/passpost/operator/callers.py
@@ -14,7 +14,15 @@
 from passpost.http1 import HOP_BY_HOP, Headers
 from passpost.operator.model import Application, File
 from passpost.operator.routes import Routes
-from passpost.validation import NUMBER, SINGLE, TOKEN, BadRequestError, Call, check_message, origin_form
+from passpost.validation import (
+    NUMBER,
+    SINGLE_FIELDS,
+    TOKEN,
+    BadRequestError,
+    Call,
+    check_message,
+    origin_form,
+)
 
 
 class RequestClassifier:
@@ -36,7 +44,12 @@
         self._deadline_key = identity.deadline_header.lower().encode()
         self._deadline_header = identity.deadline_header.encode()
         keys = {c.key_header.lower().encode() for c in application.classes if c.key_header is not None}
-        self._single_headers = SINGLE | {self._id_header.lower(), self._tenant_key, self._deadline_key, *keys}
+        self._single_headers = SINGLE_FIELDS | {
+            self._id_header.lower(),
+            self._tenant_key,
+            self._deadline_key,
+            *keys,
+        }
         self._id_prefix = f"{application.name}-{run}"
         self._counter = itertools.count(1)
         self._added_headers: Headers = [
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -126,8 +126,8 @@
             ANSWER_GRACE_S,
             self._host,
             self._module,
-            keeps_failures=True,
-            lasting=True,
+            relay_upstream_errors=True,
+            unbounded_answers=True,
         )
 
     def start(self) -> None:
@@ -151,7 +151,7 @@
             self._addresses = addresses
         self._replaced_engines = [engine for engine in self._replaced_engines if not engine.is_idle()]
         for engine in (self.engine, *self._replaced_engines):
-            engine.listed(update, addresses)
+            engine.list_updated(update, addresses)
 
     def prepare(
         self, application: Application, file: File, environment: Mapping[str, str]
@@ -171,7 +171,7 @@
                 self.source = source
             if self._members:
                 members = tuple(self._members.values())
-                engine.listed(ListUpdate(ListKind.SAVED, members), self._addresses)
+                engine.list_updated(ListUpdate(ListKind.SAVED, members), self._addresses)
             self._replaced_engines = [e for e in (*self._replaced_engines, self.engine) if not e.is_idle()]
             self.engine = self.server.engine = engine
             self.server.check = callers
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -159,7 +159,7 @@
 
     def is_alive(self) -> bool:
         """Whether a call is out or a timer is set for one."""
-        return self.pushed or self.timers > 0 or self.discovery._place.is_followed()
+        return self.pushed or self.timers > 0 or self.discovery._current.is_active()
 
     def drain_received_at(self) -> float | None:
         times = (t for t, u in self.updates for m in u.members if m.readiness is Readiness.DRAINING)
