--- a/tests/operator/files.py
+++ b/tests/operator/files.py
@@ -1,4 +1,4 @@
-"""A good operator's file that the tests break, one fault at a time."""
+"""A valid operator's file, which tests modify to introduce one fault at a time."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 def good_file_with(*edits: tuple[str, str]) -> str:
-    """The good file with texts replaced; each must be there."""
+    """The valid file with texts replaced; each text to replace must occur in it."""
     text = GOOD
     for old, new in edits:
         assert old in text, old
--- a/tests/operator/rig.py
+++ b/tests/operator/harness.py
@@ -1,4 +1,4 @@
-"""A sidecar on the simulated machine, with ordinary servers and callers round it."""
+"""A test harness: a sidecar on a simulated network, with ordinary servers and callers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from passpost.rehearsal.stage import listen
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-Reply = Callable[["Seen"], bytes | None]
+Reply = Callable[["ReceivedRequest"], bytes | None]
 
 
-class Seen:
-    """A request as a server got it."""
+class ReceivedRequest:
+    """A request as a server received it."""
 
     def __init__(self) -> None:
         self.method, self.target, self.body = "", b"", b""
@@ -38,16 +38,16 @@
         self.body += data
 
 
-class Upstream:
-    """An ordinary server: answers by `reply`, or not at all where that gives None."""
+class FakeServer:
+    """An ordinary server: sends `reply`, or what it returns for a request; with None it never answers."""
 
     def __init__(self, reply: Reply | bytes = OK) -> None:
         self.reply = reply
-        self.got: list[Seen] = []
+        self.received: list[ReceivedRequest] = []
         self.closed = 0
 
     def connection(self) -> asyncio.Protocol:
-        upstream = self
+        server = self
 
         class Connection(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -55,39 +55,39 @@
                 self.begin()
 
             def begin(self) -> None:
-                self.seen = Seen()
-                self.seen.on_message_complete = self.complete  # type: ignore[attr-defined]
-                self.parser = httptools.HttpRequestParser(self.seen)
+                self.current = ReceivedRequest()
+                self.current.on_message_complete = self.complete  # type: ignore[attr-defined]
+                self.parser = httptools.HttpRequestParser(self.current)
 
             def data_received(self, data: bytes) -> None:
                 self.parser.feed_data(data)
 
             def complete(self) -> None:
-                seen = self.seen
-                seen.method = self.parser.get_method().decode()
-                upstream.got.append(seen)
-                answer = upstream.reply if isinstance(upstream.reply, bytes) else upstream.reply(seen)
+                received = self.current
+                received.method = self.parser.get_method().decode()
+                server.received.append(received)
+                answer = server.reply if isinstance(server.reply, bytes) else server.reply(received)
                 self.begin()
                 if answer is not None:
                     self.transport.write(answer)
 
             def connection_lost(self, exc: Exception | None) -> None:
-                upstream.closed += 1
+                server.closed += 1
 
         return Connection()
 
 
-class Rig:
-    """The machine: upstreams by address, a sidecar, and callers."""
+class SidecarHarness:
+    """A simulated machine with servers by address, a sidecar, and callers."""
 
-    def __init__(self, loop: SimLoop, net: Network) -> None:
-        self.loop, self.net, self.host = loop, net, SimHost(net)
+    def __init__(self, loop: SimLoop, network: Network) -> None:
+        self.loop, self.network, self.host = loop, network, SimHost(network)
         self.sidecar = cast(Sidecar, None)
 
-    def serve(self, address: Address, upstream: Upstream) -> None:
-        listen(self.host, address, upstream.connection)
+    def add_server(self, address: Address, server: FakeServer) -> None:
+        listen(self.host, address, server.connection)
 
-    def carry(self, text_or_file: str | File, environment: dict[str, str] | None = None) -> Sidecar:
+    def start_sidecar(self, text_or_file: str | File, environment: dict[str, str] | None = None) -> Sidecar:
         file = text_or_file
         if isinstance(file, str):
             reading = parse(file, "f.toml")
@@ -97,10 +97,13 @@
         self.sidecar.start()
         return self.sidecar
 
-    async def ask(
+    async def request(
         self, address: Address, target: str, method: str = "GET", body: bytes = b"", **headers: str
     ) -> Answer | None:
-        """One request on a connection of its own; None if it ended without an answer."""
+        """Sends one request on a new connection; None if the connection ended without an answer.
+
+        `raw_answer` keeps the bytes of the answer.
+        """
         reader, writer = await asyncio.open_connection(*address)
         lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
         writer.write(
@@ -115,13 +118,13 @@
                     return answer
             return None
         finally:
-            self.raw = raw
+            self.raw_answer = raw
             writer.close()
 
 
-def play(test: Callable[[Rig], Coroutine[Any, Any, None]], seed: int = 1) -> None:
-    """Run a test on a machine of its own; nothing may go wrong that nobody caught."""
+def run_simulated(test: Callable[[SidecarHarness], Coroutine[Any, Any, None]], seed: int = 1) -> None:
+    """Runs a test on a new simulated machine; fails if an exception was left unhandled in its event loop."""
     loop = SimLoop(seed)  # type: ignore[abstract]
-    rig = Rig(loop, Network(loop, seed, 0.0005, 0.0002, 0.1))
-    loop.run(test(rig))
+    harness = SidecarHarness(loop, Network(loop, seed, 0.0005, 0.0002, 0.1))
+    loop.run(test(harness))
     assert loop.faults == []
--- a/tests/operator/test_broken.py
+++ b/tests/operator/test_broken.py
@@ -1,4 +1,4 @@
-"""Files with one deliberate fault each: refused with one sentence, and accepted once that fault is mended."""
+"""Files with one deliberate fault each: every fault gives exactly one error, and the file without faults gives none."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from passpost.operator.reader import Problem, parse
 from tests.operator.files import GOOD, good_file_with
 
-# (what is replaced, by what, the key, the sentence, what would be right)
+# (text to replace, replacement, key, part of the error's text, part of its fix)
 FAULTS: list[tuple[str, str, str, str, str]] = [
     # form
     ("name = \"studio\"", "nmae = \"studio\"", "nmae", "unknown key", "did you mean 'name'?"),
@@ -34,7 +34,7 @@
      "applications[1].upstreams", "must be a table, but is 5", ""),
     ("key_header = \"Idempotency-Key\"", "key_header = \"Idem Key\"", "applications[0].classes[0].key_header",
      "'Idem Key' has a character", "a header name"),
-    # meaning: time and repeats
+    # values: time and repeats
     ("attempts = 2\n", "attempts = 2\nconnect = 1\n", "applications[0].classes[0].connect", "unknown key", "accepts name"),
     ("attempts = 2\nattempt_ms = 900", "attempts = 3\nattempt_ms = 600", "applications[0].classes[0].attempts",
      "'submit' is keyed but has as many attempts as a safe class (3 attempts)", "fewer than 3"),
@@ -57,7 +57,7 @@
      "has no meaning for a class that is unsafe", "effect = 'keyed'"),
     ("rate_per_s = 200", "rate_per_s = 200\nconnect_ms = 2500", "applications[0].connect_ms",
      "a connection may take 2500 ms, but callers of 'submit' wait 2000 ms", "less than every deadline_ms"),
-    # meaning: tiers
+    # values: tiers
     ("deadline_ms = 1000\n", "deadline_ms = 3000\n", "applications[0].classes[1].deadline_ms",
      "'render' abandons 'frame' after 3000 ms, but 'queue', which it calls, continues for 3000 ms", "a shorter deadline in 'queue' than in 'render'"),
     ("listen = \"127.0.0.1:17071\"", "listen = \"127.0.0.1:17071\"\ncalls = [\"render\"]", "applications[0].calls",
@@ -66,14 +66,14 @@
      "the calls form a cycle: render -> render", "remove one of these calls"),
     ("calls = [\"queue\"]", "calls = [\"que\"]", "applications[0].calls", "there is no application 'que'", "queue"),
     ("name = \"queue\"", "name = \"render\"", "applications[1].name", "'render' is already the name of applications[0]", "a unique name"),
-    # meaning: tenants
+    # values: tenants
     ("share = 0.4", "share = 0.5", "applications[0].tenants", "the shares add up to 110%", "at most 100%"),
     ("name = \"castle\"", "name = \"harbour\"", "applications[0].tenants[1].name", "'harbour' is listed twice", "once"),
     ("rate_per_s = 200\n", "", "applications[0].rate_per_s", "tenant shares have no meaning without a known rate", "handle"),
     ("tenant = \"harbour\"", "tenant = \"abbey\"", "applications[0].identity.tenant",
      "'abbey' is not one of the tenants, so it has no share", "one of castle, harbour"),
     ("share = 0.4", "share = 0", "applications[0].tenants[1].share", "must be above 0, but is 0", ""),
-    # meaning: addresses
+    # values: addresses
     ("listen = \"127.0.0.1:17070\"", "listen = \"127.0.0.1:80\"", "applications[0].listen",
      "port 80 is privileged: an ordinary user can't listen on it", "a port from 1024 on"),
     ("listen = \"127.0.0.1:17071\"", "listen = \"127.0.0.1:17070\"", "applications[1].listen",
@@ -94,7 +94,7 @@
      "'local host:18003' is not a host name and port", "such as"),
     ("\"localhost:18003\"", "\"localhost\"", "applications[1].upstreams.names", "'localhost' is not a host name", "such as"),
     ("\"localhost:18003\"", "\"localhost:1\", \"localhost:1\"", "applications[1].upstreams.names", "listed twice", "once"),
-    # meaning: paths
+    # values: paths
     ("path = \"/frames/*\"", "path = \"/frames/*.png\"", "applications[0].classes[1].path",
      "'/frames/*.png' has a * within a segment", "* for one whole segment"),
     ("path = \"/frames/*\"", "path = \"/**/frames\"", "applications[0].classes[1].path", "or ** before the end", "at the"),
@@ -110,12 +110,12 @@
     ("name = \"pay\"", "name = \"frame\"", "applications[0].classes[2].name", "'frame' is already a class of this", "another"),
     ("path = \"/frames/*\"", "path = \"/health/ready\"", "applications[0].classes[1].path",
      "'/health/ready' is the health path", "another health.path"),
-    # meaning: the process
+    # values: the process
     ("kill_after_s = 30", "kill_after_s = 5", "drain.kill_after_s",
      "draining for 2 s, then up to 3 s of open requests, takes 6 s, but the process is killed after 5 s", "at least 6"),
     ("descriptors = 1024", "descriptors = 1024\nconnections = 900", "limits.connections",
      "900 client and 358 upstream connections need 1292 descriptors; there are 1024", "to 1292"),
-    # meaning: headers
+    # values: headers
     ("X-Studio = \"north\"", "Authorization = \"Bearer abc\"", "applications[0].add_headers.Authorization",
      "a secret in plain text", "env:VARIABLE"),
     ("\"env:RENDER_TOKEN\"", "\"abc123\"", "applications[0].add_headers.X-Render-Token", "a secret in plain", "env:"),
@@ -134,23 +134,25 @@
     return [p for p in found if not p.warning]
 
 
-def test_the_good_file_is_accepted() -> None:
+def test_valid_file_has_no_errors() -> None:
     assert errors(GOOD) == []
 
 
-def test_there_are_fifty_faults_and_more() -> None:
+def test_at_least_fifty_faults_are_covered() -> None:
     assert len(FAULTS) >= 50
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "key", "sentence", "fix"), FAULTS, ids=[f"{i}-{f[2]}" for i, f in enumerate(FAULTS)]
+    ("old", "new", "key", "text_part", "fix"), FAULTS, ids=[f"{i}-{f[2]}" for i, f in enumerate(FAULTS)]
 )
-def test_one_fault_is_one_sentence(old: str, new: str, key: str, sentence: str, fix: str) -> None:
+def test_each_fault_gives_exactly_one_error_at_its_line(
+    old: str, new: str, key: str, text_part: str, fix: str
+) -> None:
     text = good_file_with((old, new))
     found = errors(text)
-    assert [(p.key, sentence in p.text, fix in p.fix) for p in found] == [(key, True, True)], found
+    assert [(p.key, text_part in p.text, fix in p.fix) for p in found] == [(key, True, True)], found
     assert "\n" not in found[0].text + found[0].fix
-    # The line is that of the key, or of the table that should hold it.
+    # The line is that of the key, or of the table that should contain it.
     line = text.split("\n")[found[0].line - 1]
     last = key.rpartition(".")[2].partition("[")[0]
     assert last in line or line.startswith("[") or found[0].text == "is missing" or line.startswith("version")
--- a/tests/operator/test_diff.py
+++ b/tests/operator/test_diff.py
@@ -1,4 +1,4 @@
-"""Differences told as behaviour, each with whether it waits for a restart."""
+"""Differences between two files are described as behaviour, with whether they need a restart."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told", "restart"),
+    ("old", "new", "description", "restart"),
     [
         ("deadline_ms = 3000", "deadline_ms = 2500", "render.frame.deadline_ms: 2500, was 3000", False),
         ("attempts = 2", "attempts = 1", "render.submit.attempts: 1, was 2", False),
@@ -35,23 +35,23 @@
         ("rate_per_s = 200", "rate_per_s = 200\ncopies = true", "render.copies: yes, was no", False),
     ],
 )  # fmt: skip
-def test_a_change_is_told_as_behaviour(old: str, new: str, told: str, restart: bool) -> None:
+def test_each_change_is_described_as_behaviour(old: str, new: str, description: str, restart: bool) -> None:
     found = difference(file(), file((old, new)))
     first = found[0]
-    assert f"{first.key}: {first.text}".startswith(told) and first.restart is restart
+    assert f"{first.key}: {first.text}".startswith(description) and first.restart is restart
 
 
-def test_applications_come_and_go() -> None:
+def test_added_and_removed_applications_are_described() -> None:
     other = file(('name = "queue"', 'name = "archive"'))
-    told = [f"{c.key}: {c.text}" for c in difference(file(('calls = ["queue"]\n', "")), other)]
+    description = [f"{c.key}: {c.text}" for c in difference(file(('calls = ["queue"]\n', "")), other)]
     assert (
         "queue: 'queue' is no longer served: open requests are answered, and 127.0.0.1:17071 is closed"
-        in told
+        in description
     )
-    assert "archive: 'archive' is served on 127.0.0.1:17071 (frame)" in told
+    assert "archive: 'archive' is served on 127.0.0.1:17071 (frame)" in description
 
 
-def test_an_order_of_classes_is_a_difference() -> None:
+def test_changed_order_of_classes_is_a_difference() -> None:
     text = GOOD.replace('name = "frame"\npath = "/frames/*"', 'name = "XX"\npath = "/frames/*"')
     first, last = (
         text.index('[[applications.classes]]\nname = "XX"'),
@@ -75,7 +75,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.sets(st.sampled_from(EDITS)))
-def test_there_is_a_difference_exactly_when_the_files_differ(edits: set[tuple[str, str]]) -> None:
+def test_differences_exist_exactly_if_the_files_differ(edits: set[tuple[str, str]]) -> None:
     other = file(*edits)
     assert bool(difference(file(), other)) == bool(edits) == (other != file())
     assert difference(other, other) == []
--- a/tests/operator/test_reader.py
+++ b/tests/operator/test_reader.py
@@ -1,4 +1,4 @@
-"""Reading: what can't be read is one line; all else is told at once, at its line."""
+"""The reader: an unreadable file gives a one-line error; in others all mistakes are reported at once, with lines."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
         (b"\x00", "f.toml:1: invalid TOML: "),
     ],
 )
-def test_what_can_not_be_parsed_is_one_line(tmp_path: Path, data: bytes, wanted: str) -> None:
+def test_unparsable_file_gives_a_one_line_error(tmp_path: Path, data: bytes, wanted: str) -> None:
     (tmp_path / "f.toml").write_bytes(data)
     with pytest.raises(UnreadableError) as caught:
         load(str(tmp_path / "f.toml"))
-    told = str(caught.value).removeprefix(f"{tmp_path}/")
-    assert told.startswith(wanted) and "\n" not in told
+    message = str(caught.value).removeprefix(f"{tmp_path}/")
+    assert message.startswith(wanted) and "\n" not in message
 
 
-def test_what_is_no_file_is_one_line(tmp_path: Path) -> None:
+def test_missing_or_invalid_path_gives_a_one_line_error(tmp_path: Path) -> None:
     for path, wanted in (
         (str(tmp_path), "Is a directory"),
         (str(tmp_path / "x"), "No such file"),
@@ -44,38 +44,40 @@
             load(path)
 
 
-def test_a_file_without_permission_is_one_line(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_file_without_permission_gives_a_one_line_error(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def refuse(*_: object) -> None:
         raise PermissionError(13, "Permission denied")
 
-    monkeypatch.setattr("builtins.open", refuse)  # whoever runs the tests may be allowed everything
+    monkeypatch.setattr("builtins.open", refuse)  # the user who runs the tests may be root
     with pytest.raises(UnreadableError, match=r"f\.toml: Permission denied"):
         load("f.toml")
 
 
-def test_a_file_that_changes_while_it_is_read_is_read_again_or_refused(
+def test_file_that_changes_during_reading_is_read_again_or_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "f.toml"
     path.write_text(GOOD)
     real, left = os.fstat, 1
 
-    def moving(descriptor: int) -> os.stat_result:
+    def fstat_after_write(descriptor: int) -> os.stat_result:
         nonlocal left
         left -= 1
         if left >= 0:
-            with open(path, "a") as file:  # somebody else is writing
+            with open(path, "a") as file:  # another process writes to the file
                 file.write("# more\n")
         return real(descriptor)
 
-    monkeypatch.setattr("passpost.operator.reader.os.fstat", moving)
+    monkeypatch.setattr("passpost.operator.reader.os.fstat", fstat_after_write)
     assert load(str(path)).file is not None
     left = 99
     with pytest.raises(UnreadableError, match="it is being written"):
         load(str(path))
 
 
-def test_every_mistake_is_told_at_once_and_at_its_line() -> None:
+def test_all_mistakes_are_reported_at_once_with_their_lines() -> None:
     text = good_file_with(
         ("memory_mb = 256", 'memory_mb = "lots"'),
         ("serve_s = 2", "serv_s = 2"),
@@ -86,13 +88,13 @@
     reading = parse(text, "f.toml")
     assert reading.file is not None
     found = reading.all_problems(check(reading.file))
-    told = {(p.key, p.line) for p in found if not p.warning}
+    reported = {(p.key, p.line) for p in found if not p.warning}
     lines = text.split("\n")
 
     def line(part: str) -> int:
         return next(i for i, row in enumerate(lines, 1) if part in row)
 
-    assert told == {
+    assert reported == {
         ("limits.memory_mb", line('"lots"')),
         ("drain.serv_s", line("serv_s")),
         ("applications[0].classes[2].effect", line("unsave")),
@@ -101,7 +103,7 @@
     }
 
 
-def test_lines_are_those_of_headers_and_keys_whatever_stands_in_texts() -> None:
+def test_line_numbers_ignore_headers_and_keys_inside_strings() -> None:
     text = (
         '# [no]\na = """\n[fake]\nb = 1\n"""\n[t]  # table\n"x y" = [\n  1,\n  2]\nc.d = 1\n'
         "[[u]]\nk = 1\n[[u.v]]\nz = '[u]'\n[[u]]\nk = 2\n[[u.v]]\n[u.v.w]\nq = 1\n"
@@ -114,7 +116,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(st.data())
-def test_random_edits_of_a_good_file_never_give_a_traceback(data: st.DataObject) -> None:
+def test_random_edits_of_a_valid_file_never_raise_unexpected_errors(data: st.DataObject) -> None:
     text = GOOD
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(text)))
--- a/tests/operator/test_routes.py
+++ b/tests/operator/test_routes.py
@@ -1,4 +1,4 @@
-"""Which class a request has; and patterns compared by what they take."""
+"""Routes find the class of a request, and patterns compare by the paths that they match."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pattern", "path", "fit"),
+    ("pattern", "path", "expected"),
     [
         ("/a", "/a", True),
         ("/a", "/a/", False),
@@ -34,11 +34,11 @@
         ("/A", "/a", False),
     ],
 )
-def test_patterns(pattern: str, path: str, fit: bool) -> None:
-    assert matches(segments(pattern), segments(path)) is fit
+def test_pattern_matches_path(pattern: str, path: str, expected: bool) -> None:
+    assert matches(segments(pattern), segments(path)) is expected
 
 
-def test_the_first_class_that_fits_has_the_request() -> None:
+def test_first_matching_class_is_found() -> None:
     def cls(name: str, path: str, *methods: str) -> Class:
         return Class(name=name, path=path, methods=methods, deadline_ms=1)  # type: ignore[arg-type]
 
@@ -55,9 +55,9 @@
 
 @settings(max_examples=400, deadline=None)
 @given(patterns, patterns)
-def test_covering_and_meeting_are_what_the_paths_say(a: tuple[str, ...], b: tuple[str, ...]) -> None:
+def test_covers_and_overlap_agree_with_enumerated_paths(a: tuple[str, ...], b: tuple[str, ...]) -> None:
     of_a, of_b = ({p for p in PATHS if matches(x, p)} for x in (a, b))
-    # All segments but a and b behave as one more word, which only * and ** take.
+    # Every segment other than a and b behaves like c, which only * and ** match.
     other_a, other_b = ({p for p in product("abc", repeat=4) if matches(x, p)} for x in (a, b))
     assert covers(a, b) == (of_b <= of_a and other_b <= other_a)
     assert overlap(a, b) == bool(of_a & of_b or other_a & other_b)
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -1,4 +1,4 @@
-"""Where upstreams come from, and what stands when that can't be asked."""
+"""Sources of upstream addresses: changes are reported, and a failing source keeps its last addresses."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from umberworks.interface import ListKind, ListUpdate
 
 
-class Told:
+class RecordedUpdates:
     def __init__(self) -> None:
         self.lists: list[list[str]] = []
         self.updates: list[ListUpdate] = []
@@ -34,7 +34,7 @@
         self.updates.append(update)
 
 
-def play(test: Coroutine[Any, Any, None]) -> None:
+def run_simulated(test: Coroutine[Any, Any, None]) -> None:
     loop = SimLoop(1)  # type: ignore[abstract]
     loop.run(test)
     assert loop.faults == []
@@ -46,22 +46,22 @@
     return SimHost(Network(loop, 1, 0.001, 0.0, 0.0))
 
 
-def test_fixed_addresses_are_told_once() -> None:
-    told = Told()
-    StaticSource(model.Static(addresses=("10.0.0.2:80", "[::1]:80", "10.0.0.1:80"))).start(told)
-    assert told.lists == [["10.0.0.1:80", "10.0.0.2:80", "[::1]:80"]]
-    assert all(m.up_since_ms == 0 for m in told.updates[0].members)
+def test_fixed_addresses_are_reported_once() -> None:
+    recorded = RecordedUpdates()
+    StaticSource(model.Static(addresses=("10.0.0.2:80", "[::1]:80", "10.0.0.1:80"))).start(recorded)
+    assert recorded.lists == [["10.0.0.1:80", "10.0.0.2:80", "[::1]:80"]]
+    assert all(m.up_since_ms == 0 for m in recorded.updates[0].members)
 
 
-class Names:
-    """A resolver by script: for each name its addresses, an error, or how long it takes."""
+class ScriptedResolver:
+    """A scripted resolver: for each name its addresses, an error to raise, or a delay in seconds."""
 
     def __init__(self) -> None:
         self.answers: dict[str, list[str] | OSError | float] = {}
-        self.asked = 0
+        self.call_count = 0
 
     async def __call__(self, name: str, port: int) -> list[str]:
-        self.asked += 1
+        self.call_count += 1
         answer = self.answers[name]
         if isinstance(answer, OSError):
             raise answer
@@ -71,66 +71,68 @@
         return answer
 
 
-def test_names_are_resolved_again_and_a_changed_set_is_followed() -> None:
+def test_names_are_resolved_again_and_changes_are_reported() -> None:
     async def test() -> None:
-        told, names = Told(), Names()
-        source = NamesSource(model.Names(names=("a:80",), expires_s=10), sim_host(), names)
-        names.answers["a"] = ["10.0.0.1", "10.0.0.2"]
-        source.start(told)
+        recorded, resolver = RecordedUpdates(), ScriptedResolver()
+        source = NamesSource(model.Names(names=("a:80",), expires_s=10), sim_host(), resolver)
+        resolver.answers["a"] = ["10.0.0.1", "10.0.0.2"]
+        source.start(recorded)
         await asyncio.sleep(25)
-        assert names.asked == 3 and told.lists == [["10.0.0.1:80", "10.0.0.2:80"]]  # told when it changes
-        names.answers["a"] = ["10.0.0.2", "10.0.0.3"]
+        assert resolver.call_count == 3 and recorded.lists == [
+            ["10.0.0.1:80", "10.0.0.2:80"]
+        ]  # reported only on changes
+        resolver.answers["a"] = ["10.0.0.2", "10.0.0.3"]
         await asyncio.sleep(10)
-        assert told.lists[1:] == [["10.0.0.2:80", "10.0.0.3:80"]]
-        old, new = told.updates[1].members
-        assert old.up_since_ms == 0 and new.up_since_ms > 0  # it has just started, for all we know
+        assert recorded.lists[1:] == [["10.0.0.2:80", "10.0.0.3:80"]]
+        old, new = recorded.updates[1].members
+        assert old.up_since_ms == 0 and new.up_since_ms > 0  # a new address counts as just started
         source.stop()
         await asyncio.sleep(30)
-        assert names.asked == 4
+        assert resolver.call_count == 4
 
-    play(test())
+    run_simulated(test())
 
 
 @pytest.mark.parametrize(
     "fault", [OSError(-2, "Name or service not known"), [], 60.0], ids=["unknown", "nothing", "slow"]
 )
-def test_a_name_that_fails_keeps_its_addresses_and_holds_up_no_other(
+def test_failing_name_keeps_its_addresses_and_does_not_delay_others(
     fault: Any, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def test() -> None:
-        told, names = Told(), Names()
-        names.answers = {"a": ["10.0.0.1"], "b": ["10.0.0.2"]}
+        recorded, resolver = RecordedUpdates(), ScriptedResolver()
+        resolver.answers = {"a": ["10.0.0.1"], "b": ["10.0.0.2"]}
         source = NamesSource(
-            model.Names(names=("a:80", "b:80"), expires_s=10, timeout_s=5), sim_host(), names
+            model.Names(names=("a:80", "b:80"), expires_s=10, timeout_s=5), sim_host(), resolver
         )
-        source.start(told)
+        source.start(recorded)
         await asyncio.sleep(1)
-        names.answers = {"a": fault, "b": ["10.0.0.3"]}
+        resolver.answers = {"a": fault, "b": ["10.0.0.3"]}
         await asyncio.sleep(10)
-        assert told.lists[-1] == ["10.0.0.1:80", "10.0.0.3:80"]
+        assert recorded.lists[-1] == ["10.0.0.1:80", "10.0.0.3:80"]
         await asyncio.sleep(40)
-        assert told.lists[-1] == ["10.0.0.1:80", "10.0.0.3:80"]
-        names.answers["a"] = ["10.0.0.4"]
+        assert recorded.lists[-1] == ["10.0.0.1:80", "10.0.0.3:80"]
+        resolver.answers["a"] = ["10.0.0.4"]
         await asyncio.sleep(20)
-        assert told.lists[-1] == ["10.0.0.3:80", "10.0.0.4:80"]
+        assert recorded.lists[-1] == ["10.0.0.3:80", "10.0.0.4:80"]
 
-    play(test())
+    run_simulated(test())
     warned = [r.getMessage() for r in caplog.records if r.levelname == "WARNING"]
-    assert len(warned) == 1 and warned[0].startswith("a:80: ")  # when it begins, not each time
+    assert len(warned) == 1 and warned[0].startswith("a:80: ")  # logged once, not at every poll
 
 
-def test_a_name_that_never_resolved_leaves_the_list_untold() -> None:
+def test_name_that_never_resolved_reports_no_list() -> None:
     async def test() -> None:
-        told, names = Told(), Names()
-        names.answers["a"] = OSError(-2, "unknown")
-        NamesSource(model.Names(names=("a:80",)), sim_host(), names).start(told)
+        recorded, resolver = RecordedUpdates(), ScriptedResolver()
+        resolver.answers["a"] = OSError(-2, "unknown")
+        NamesSource(model.Names(names=("a:80",)), sim_host(), resolver).start(recorded)
         await asyncio.sleep(100)
-        assert told.lists == []
+        assert recorded.lists == []
 
-    play(test())
+    run_simulated(test())
 
 
-def test_a_watched_file_is_followed_and_a_bad_one_changes_nothing(
+def test_watched_file_is_followed_and_an_invalid_one_changes_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     path = tmp_path / "list"
@@ -140,14 +142,14 @@
         os.replace(tmp_path / "new", path)
 
     async def test() -> None:
-        told = Told()
+        recorded = RecordedUpdates()
         source = FileSource(model.Watched(path=str(path), every_s=1), sim_host())
-        source.start(told)
+        source.start(recorded)
         await asyncio.sleep(2)
-        assert told.lists == []  # there is none yet
+        assert recorded.lists == []  # the file does not exist yet
         replace("10.0.0.1:80  # the first\n\n10.0.0.2:80\n10.0.0.1:80\n")
         await asyncio.sleep(2)
-        assert told.lists == [["10.0.0.1:80", "10.0.0.2:80"]]
+        assert recorded.lists == [["10.0.0.1:80", "10.0.0.2:80"]]
         for bad in (
             "10.0.0.1:80\nrender:80\n",
             "",
@@ -158,16 +160,16 @@
             await asyncio.sleep(2)
         path.unlink()
         await asyncio.sleep(2)
-        assert len(told.lists) == 1
+        assert len(recorded.lists) == 1
         replace("10.0.0.3:80\n")
         await asyncio.sleep(2)
-        assert told.lists[1:] == [["10.0.0.3:80"]]
+        assert recorded.lists[1:] == [["10.0.0.3:80"]]
 
-    play(test())
+    run_simulated(test())
     assert "line 2: 'render:80' is not an IP address and port" in caplog.text
 
 
-def test_lines_that_are_no_address_are_named() -> None:
+def test_error_names_the_invalid_line() -> None:
     with pytest.raises(ValueError, match="line 3: 'x' is not an IP address and port"):
         parse_address_list("10.0.0.1:80\n#\nx")
 
@@ -177,7 +179,9 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.lists(addresses, max_size=4)), max_size=12))
-def test_the_list_is_the_union_of_what_was_last_known_of_each(steps: list[tuple[str, list[Address]]]) -> None:
+def test_list_is_the_union_of_the_last_addresses_of_each_source(
+    steps: list[tuple[str, list[Address]]],
+) -> None:
     known, wanted, last = Membership(), dict[str, set[Address]](), None
     for now, (source, found) in enumerate(steps, 1):
         known.set_addresses(source, found)
@@ -185,7 +189,7 @@
             wanted[source] = set(found)
         union = sorted(set().union(*wanted.values()))
         assert known.addresses() == union
-        news = known.update(float(now))
-        assert (news is not None) == (union != (last or []))
+        update = known.update(float(now))
+        assert (update is not None) == (union != (last or []))
         last = union
         assert known.update(float(now)) is None
--- a/tests/operator/test_writer.py
+++ b/tests/operator/test_writer.py
@@ -1,4 +1,4 @@
-"""Files from descriptions: accepted by `check`, served by `run`, the same each time, and edits survive."""
+"""Generated files: deterministic, without errors, usable by a sidecar, and merged with the operator's edits."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from passpost.operator.model import File, Names
 from passpost.operator.reader import parse
 from passpost.operator.writer import build, merge, render
-from tests.operator.rig import Rig, Upstream, play
+from tests.operator.harness import FakeServer, SidecarHarness, run_simulated
 
 
-def described(**changes: Any) -> Description:
+def make_description(**changes: Any) -> Description:
     base: dict[str, Any] = {
         "application": "survey",
         "calls": [
@@ -43,26 +43,26 @@
     return msgspec.convert(base | changes, Description)
 
 
-def read(text: str) -> File:
+def parse_valid(text: str) -> File:
     reading = parse(text, "f.toml")
     assert reading.problems == [] and reading.file is not None
     assert [p for p in check(reading.file) if not p.warning] == []
     return reading.file
 
 
-def test_what_is_written_is_what_was_built_and_the_same_each_time() -> None:
-    file = build(described())
+def test_generated_text_is_deterministic_and_parses_to_the_built_file() -> None:
+    file = build(make_description())
     text = render(file, "survey.toml")
-    assert read(text) == file
-    assert text == render(build(described()), "survey.toml")
+    assert parse_valid(text) == file
+    assert text == render(build(make_description()), "survey.toml")
     frame, submit, pay = file.applications[0].classes
     assert (frame.effect, frame.attempts, submit.attempts, pay.attempts) == ("safe", 3, 2, 1)
     assert submit.attempt_ms * 2 <= submit.deadline_ms and submit.attempt_ms < submit.window_ms
     assert isinstance(file.applications[0].upstreams, Names)
 
 
-def test_every_key_stands_there_with_its_meaning() -> None:
-    text = render(build(described()))
+def test_every_key_is_written_with_its_description() -> None:
+    text = render(build(make_description()))
     for key in (
         "descriptors",
         "kill_after_s",
@@ -113,71 +113,71 @@
 @given(
     names, st.lists(services, min_size=1, max_size=3, unique_by=lambda s: s["service"]), st.integers(0, 1000)
 )
-def test_whatever_is_written_is_accepted_and_served(
+def test_generated_file_is_valid_and_serves_every_class(
     name: str, calls: list[dict[str, Any]], seed: int
 ) -> None:
-    description = described(application=name, calls=calls)
+    description = make_description(application=name, calls=calls)
     file = build(description)
     text = render(file)
     reading = parse(text, "f.toml")
     assert reading.file == file
     errors = [p for p in check(file) if not p.warning]
-    # Paths that contradict one another are the description's own; `new` refuses it with this sentence.
+    # Conflicting paths come from the description itself; `passpost new` refuses it with this error.
     assert all(p.key.endswith(".path") for p in errors), errors
     if errors:
         return
 
-    async def test(rig: Rig) -> None:
+    async def test(harness: SidecarHarness) -> None:
         for address in {a for app in file.applications for a in app.upstreams.addresses}:  # type: ignore[union-attr]
             pair = split_host_port(address)
             assert pair is not None
-            rig.serve(pair, Upstream())
-        rig.carry(file)
+            harness.add_server(pair, FakeServer())
+        harness.start_sidecar(file)
         for app in file.applications:
             pair = split_host_port(app.listen)
             assert pair is not None
             for cls in app.classes:
                 target = cls.path.replace("/**", "/x/y").replace("/*", "/x")
                 headers = {"Idempotency_Key": "k"} if cls.effect == "keyed" else {}
-                got = await rig.ask(pair, target, cls.methods[-1], b"", **headers)
+                got = await harness.request(pair, target, cls.methods[-1], b"", **headers)
                 assert got is not None and got.status == 200, (target, got)
         await asyncio.sleep(0)
 
-    play(test, seed)
+    run_simulated(test, seed)
 
 
 # ---- edits
 
 
-def test_the_operators_edits_survive_a_new_description() -> None:
-    old = render(build(described()))
-    mine = old.replace("memory_mb = 256", "memory_mb = 512").replace(
+def test_edits_survive_a_new_description() -> None:
+    old = render(build(make_description()))
+    edited = old.replace("memory_mb = 256", "memory_mb = 512").replace(
         "# descriptors = 1024", "descriptors = 4096  # a busy box"
     )
-    mine = mine.replace("[drain]", "# Agreed with the platform team.\n[drain]")
-    calls = msgspec.to_builtins(described())["calls"]
+    edited = edited.replace("[drain]", "# Agreed with the platform team.\n[drain]")
+    calls = msgspec.to_builtins(make_description())["calls"]
     calls[0]["requests"][0]["waits_ms"] = 900.0
-    new = render(build(described(calls=calls)))
-    merged = merge(old, mine, new)
+    new = render(build(make_description(calls=calls)))
+    merged = merge(old, edited, new)
     assert merged.conflicts == ()
-    found = read(merged.text)
+    found = parse_valid(merged.text)
     assert found.limits.descriptors == 4096 and found.applications[0].classes[0].deadline_ms == 900
     assert (
         "descriptors = 4096  # a busy box\n" in merged.text
         and "# Agreed with the platform team.\n" in merged.text
     )
-    assert merge(new, merged.text, new).text == merged.text  # and again
+    assert merge(new, merged.text, new).text == merged.text  # merging again changes nothing
 
 
-def test_what_both_changed_is_a_conflict_at_its_line() -> None:
-    old = render(build(described()))
-    mine = old.replace("at = ", "at = ").replace("deadline_ms = 2000", "deadline_ms = 2500", 1)
-    calls = msgspec.to_builtins(described())["calls"]
+def test_lines_changed_on_both_sides_are_a_conflict_with_its_line() -> None:
+    old = render(build(make_description()))
+    edited = old.replace("at = ", "at = ").replace("deadline_ms = 2000", "deadline_ms = 2500", 1)
+    calls = msgspec.to_builtins(make_description())["calls"]
     calls[0]["requests"][0]["waits_ms"] = 900.0
-    merged = merge(old, mine, render(build(described(calls=calls))))
+    merged = merge(old, edited, render(build(make_description(calls=calls))))
     [conflict] = merged.conflicts
     assert "deadline_ms = 2500" in conflict.current and "deadline_ms = 900" in conflict.new
-    assert "deadline_ms = 2500" in mine.split("\n")[conflict.line - 1 : conflict.line + 3]
+    assert "deadline_ms = 2500" in edited.split("\n")[conflict.line - 1 : conflict.line + 3]
 
 
 lines = st.lists(st.sampled_from(["a", "b", "c", "d"]), max_size=8).map(
@@ -187,11 +187,11 @@
 
 @settings(max_examples=200, deadline=None)
 @given(lines, lines)
-def test_a_side_that_changed_nothing_yields(base: str, other: str) -> None:
+def test_merge_takes_the_only_changed_side(base: str, other: str) -> None:
     assert merge(base, base, other) == merge(base, other, base) == merge(base, other, other)
     assert merge(base, base, other).text == other
 
 
-def test_a_description_of_another_form_is_refused() -> None:
+def test_malformed_description_is_refused() -> None:
     with pytest.raises(msgspec.ValidationError):
-        described(application="Survey!")
+        make_description(application="Survey!")
