--- a/passpost/operator/reader.py
+++ b/passpost/operator/reader.py
@@ -351,9 +351,8 @@
                 lines.setdefault(table.removesuffix("[0]"), number)
                 lines.setdefault(table, number)
             elif (key := _KEY_START.match(line)) is not None:
-                quoted = (
-                    _KEY_START.match(originals[number - 1]) if "'" in key[1] else None
-                )  # the quoted key was blanked
+                # A quoted key was blanked above, so it is read from the original line.
+                quoted = _KEY_START.match(originals[number - 1]) if "'" in key[1] else None
                 lines.setdefault(_join_dotted(table, (quoted or key)[1]), number)
         depth = max(depth + line.count("[") + line.count("{") - line.count("]") - line.count("}"), 0)
         if depth and _TABLE_HEADER.match(line):
--- a/tests/cli/test_clients.py
+++ b/tests/cli/test_clients.py
@@ -1,4 +1,4 @@
-"""The shipped examples as processes of their own, called by ordinary clients: http.client and aiohttp."""
+"""The shipped examples as separate processes, called by ordinary clients: http.client and aiohttp."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Server(BaseHTTPRequestHandler):
-    """An ordinary server: tells the method, the path and how long the body was."""
+    """An ordinary server: answers with the method, the path and the length of the body."""
 
     protocol_version = "HTTP/1.1"
 
@@ -38,7 +38,7 @@
         if self.command != "HEAD":
             self.wfile.write(body)
 
-    do_GET = do_HEAD = do_POST = do_PUT = do_DELETE = answer  # as http.server names them
+    do_GET = do_HEAD = do_POST = do_PUT = do_DELETE = answer  # names required by http.server
 
     def log_message(self, format: str, *args: object) -> None:
         pass
@@ -54,68 +54,72 @@
         thread.join()
 
 
-def on_free_ports(folder: Path, to: Path, stack: ExitStack) -> list[Application]:
-    """The example's file with ports that are free, and servers at its upstreams' addresses."""
+def write_with_free_ports(folder: Path, target_path: Path, stack: ExitStack) -> list[Application]:
+    """Writes the example's file with free ports, and runs servers at the addresses of its upstreams."""
     text = (folder / "passpost.toml").read_text()
     for address in sorted(set(re.findall(r"127\.0\.0\.1:18\d+", text))):
         text = text.replace(address, f"127.0.0.1:{stack.enter_context(run_server())}")
     for address in sorted(set(re.findall(r"127\.0\.0\.1:17\d+", text))):
         text = text.replace(address, f"127.0.0.1:{free_port()}")
-    to.write_text(text)
-    file = load(str(to)).file
+    target_path.write_text(text)
+    file = load(str(target_path)).file
     assert file is not None
     return list(file.applications)
 
 
-def asked(cls: Class) -> tuple[str, dict[str, str], bytes]:
+def sample_request(cls: Class) -> tuple[str, dict[str, str], bytes]:
     headers = {cls.key_header: "k-1"} if cls.key_header is not None else {}
     return sample(cls, "m7")[1], headers, b"x" * 2_000
 
 
 @pytest.mark.parametrize("folder", EXAMPLES, ids=lambda p: p.name)
-def test_an_example_serves_http_client_and_aiohttp(folder: Path, tmp_path: Path) -> None:
+def test_example_serves_http_client_and_aiohttp(folder: Path, tmp_path: Path) -> None:
     path = tmp_path / "passpost.toml"
     with ExitStack() as stack:
-        applications = on_free_ports(folder, path, stack)
+        applications = write_with_free_ports(folder, path, stack)
         process = stack.enter_context(run_process(path))
         for application in applications:
             address = split_host_port(application.listen)
             assert address is not None
             wait_until_ready(address[1], process)
-            by_library(address[1], application)
-            asyncio.run(by_aiohttp(address[1], application))
+            call_with_http_client(address[1], application)
+            asyncio.run(call_with_aiohttp(address[1], application))
 
 
-def by_library(port: int, application: Application) -> None:
+def call_with_http_client(port: int, application: Application) -> None:
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     for cls in application.classes:
-        target, headers, body = asked(cls)
+        target, headers, body = sample_request(cls)
         for method in cls.methods:
-            sent = body if method in ("POST", "PUT") else None
-            connection.request(method, f"{target}?page=2", sent, headers | {"X-Request-Id": "mine"})
-            got = connection.getresponse()
-            text = "" if method == "HEAD" else f"{method} {target}?page=2 {len(sent or b'')}"
-            assert (got.status, got.read().decode(), got.getheader("X-Got-Id")) == (200, text, "mine")
+            sent_body = body if method in ("POST", "PUT") else None
+            connection.request(method, f"{target}?page=2", sent_body, headers | {"X-Request-Id": "mine"})
+            response = connection.getresponse()
+            text = "" if method == "HEAD" else f"{method} {target}?page=2 {len(sent_body or b'')}"
+            assert (response.status, response.read().decode(), response.getheader("X-Got-Id")) == (
+                200,
+                text,
+                "mine",
+            )
     connection.request("GET", "/no/such/path")
     assert connection.getresponse().status == 404
     connection.close()
 
 
-async def by_aiohttp(port: int, application: Application) -> None:
+async def call_with_aiohttp(port: int, application: Application) -> None:
     wait = aiohttp.ClientTimeout(total=TIMEOUT_S)
     async with aiohttp.ClientSession(f"http://127.0.0.1:{port}", timeout=wait) as session:
 
         async def call(cls: Class, method: str) -> None:
-            target, headers, body = asked(cls)
+            target, headers, body = sample_request(cls)
             data = body if method in ("POST", "PUT") else None
-            async with session.request(method, target, data=data, headers=headers) as got:
+            async with session.request(method, target, data=data, headers=headers) as response:
                 text = "" if method == "HEAD" else f"{method} {target} {len(data or b'')}"
-                assert (got.status, await got.text()) == (200, text)
-                assert got.headers["X-Got-Id"]  # it sent none, and got one
+                assert (response.status, await response.text()) == (200, text)
+                assert response.headers["X-Got-Id"]  # the sidecar adds an id if the client sends none
 
-        # eight callers at once, on connections that are kept
+        # Eight concurrent callers on persistent connections.
         for cls in application.classes:
             await asyncio.gather(*(call(cls, m) for m in cls.methods for _ in range(8)))
             if cls.key_header is not None:
-                async with session.request(cls.methods[0], asked(cls)[0]) as got:
-                    assert got.status == 400 and "needs a key" in await got.text()
+                async with session.request(cls.methods[0], sample_request(cls)[0]) as response:
+                    assert response.status == 400 and "needs a key" in await response.text()
--- a/tests/cli/test_long_clients.py
+++ b/tests/cli/test_long_clients.py
@@ -1,4 +1,4 @@
-"""Long and living answers through `passpost run` on a shipped example, by ordinary clients: http.client and aiohttp."""
+"""Long and streamed answers through `passpost run` with a shipped example; the clients are http.client and aiohttp."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 
 EXAMPLE = Path(__file__).parent.parent.parent / "examples" / "consent-desk" / "passpost.toml"
 MB = 1024 * 1024
-LONG = 20 * MB
+LONG_BODY_BYTES = 20 * MB
 
 
 class Server(BaseHTTPRequestHandler):
-    """An ordinary server that counts what it is asked, and streams until it is told to end."""
+    """An ordinary server that records its requests. Streams wait for `proceed` before each further part."""
 
     protocol_version = "HTTP/1.1"
-    asked: list[str]
-    go_on: threading.Event
+    request_lines: list[str]
+    proceed: threading.Event
 
     def do_GET(self) -> None:
-        self.asked.append(f"{self.command} {self.path}")
+        self.request_lines.append(f"{self.command} {self.path}")
         match self.path.rpartition("/")[2]:
             case "long":
-                self.plain(b"x" * LONG)
+                self.send_body(b"x" * LONG_BODY_BYTES)
             case "chunked":
-                self.chunks([b"y" * MB] * 5)
+                self.send_chunks([b"y" * MB] * 5)
             case "to-the-end":
                 self.send_response(200)
                 self.send_header("Connection", "close")
@@ -55,7 +55,7 @@
                 self.wfile.write(b"e" * 2 * MB)
             case "packed":
                 body = gzip.compress(b"frame " * 1000)
-                self.plain(body, ("Content-Encoding", "gzip"))
+                self.send_body(body, ("Content-Encoding", "gzip"))
             case "204" | "304" as status:
                 self.send_response(int(status))
                 self.end_headers()
@@ -64,18 +64,18 @@
                 self.send_header("Content-Length", "10")
                 self.end_headers()
                 self.wfile.write(b"first")
-                self.go_on.wait(TIMEOUT_S)
-                self.go_on.clear()
+                self.proceed.wait(TIMEOUT_S)
+                self.proceed.clear()
                 self.wfile.write(b"later")
             case "feed":
-                self.feed()
+                self.send_events()
             case _:
-                self.plain(b"ok")
+                self.send_body(b"ok")
 
     do_HEAD = do_GET
 
     def do_POST(self) -> None:
-        self.asked.append(f"{self.command} {self.path}")
+        self.request_lines.append(f"{self.command} {self.path}")
         if self.headers.get("Transfer-Encoding") == "chunked":
             length = 0
             while size := int(self.rfile.readline(), 16):
@@ -84,9 +84,9 @@
             self.rfile.readline()
         else:
             length = len(self.rfile.read(int(self.headers["Content-Length"])))
-        self.plain(str(length).encode())
+        self.send_body(str(length).encode())
 
-    def plain(self, body: bytes, *headers: tuple[str, str]) -> None:
+    def send_body(self, body: bytes, *headers: tuple[str, str]) -> None:
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         for name, value in headers:
@@ -95,15 +95,15 @@
         if self.command != "HEAD":
             self.wfile.write(body)
 
-    def chunks(self, pieces: list[bytes]) -> None:
+    def send_chunks(self, pieces: list[bytes]) -> None:
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
         for piece in [*pieces, b""]:
             self.wfile.write(b"%x\r\n%b\r\n" % (len(piece), piece))
 
-    def feed(self) -> None:
-        """Server-sent events: the first at once, the next when the test has read it."""
+    def send_events(self) -> None:
+        """Sends server-sent events: the first at once, each further one after the test has read the previous one."""
         self.send_response(200)
         self.send_header("Content-Type", "text/event-stream")
         self.send_header("Transfer-Encoding", "chunked")
@@ -111,9 +111,9 @@
         for number in range(3):
             event = b"data: %d\n\n" % number
             self.wfile.write(b"%x\r\n%b\r\n" % (len(event), event))
-            if not self.go_on.wait(TIMEOUT_S):
+            if not self.proceed.wait(TIMEOUT_S):
                 return
-            self.go_on.clear()
+            self.proceed.clear()
         self.wfile.write(b"0\r\n\r\n")
 
     def log_message(self, format: str, *args: object) -> None:
@@ -122,12 +122,12 @@
 
 @contextmanager
 def example(folder: Path) -> Iterator[tuple[int, type[Server], subprocess.Popen[str]]]:
-    """The example with one such server at both addresses; the port where callers connect."""
-    kind = type("Told", (Server,), {"asked": [], "go_on": threading.Event()})
+    """Runs the example with servers at both addresses; yields the listen port, the servers' class and the process."""
+    server_class = type("RecordingServer", (Server,), {"request_lines": [], "proceed": threading.Event()})
     text, port = EXAMPLE.read_text(), free_port()
     with (
-        ThreadingHTTPServer(("127.0.0.1", 0), kind) as one,
-        ThreadingHTTPServer(("127.0.0.1", 0), kind) as two,
+        ThreadingHTTPServer(("127.0.0.1", 0), server_class) as one,
+        ThreadingHTTPServer(("127.0.0.1", 0), server_class) as two,
     ):
         for server, old in ((one, "127.0.0.1:18201"), (two, "127.0.0.1:18202")):
             server.daemon_threads = True
@@ -139,18 +139,18 @@
         )
         with run_process(path) as process:
             wait_until_ready(port, process)
-            yield port, kind, process
+            yield port, server_class, process
         one.shutdown()
         two.shutdown()
 
 
 @pytest.fixture(scope="module")
-def served(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[int, type[Server]]]:
-    with example(tmp_path_factory.mktemp("long")) as (port, kind, _):
-        yield port, kind
+def sidecar(tmp_path_factory: pytest.TempPathFactory) -> Iterator[tuple[int, type[Server]]]:
+    with example(tmp_path_factory.mktemp("long")) as (port, server_class, _):
+        yield port, server_class
 
 
-def ask(
+def send_request(
     port: int, method: str, path: str, body: bytes | Iterator[bytes] | None = None, **headers: str
 ) -> tuple[int, bytes, http.client.HTTPResponse]:
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
@@ -160,73 +160,79 @@
     return got.status, got.read(), got
 
 
-def asked(kind: type[Server], what: str) -> int:
-    return kind.asked.count(what)
+def count_requests(server_class: type[Server], request_line: str) -> int:
+    return server_class.request_lines.count(request_line)
 
 
-@pytest.mark.parametrize(("name", "length"), [("long", LONG), ("chunked", 5 * MB), ("to-the-end", 300_000)])
-def test_a_long_answer_comes_whole_and_is_asked_of_one_server(
-    served: tuple[int, type[Server]], name: str, length: int
+@pytest.mark.parametrize(
+    ("name", "length"), [("long", LONG_BODY_BYTES), ("chunked", 5 * MB), ("to-the-end", 300_000)]
+)
+def test_long_answer_is_complete_and_requested_once(
+    sidecar: tuple[int, type[Server]], name: str, length: int
 ) -> None:
-    port, kind = served
-    status, body, _ = ask(port, "GET", f"/jobs/{name}")
+    port, server_class = sidecar
+    status, body, _ = send_request(port, "GET", f"/jobs/{name}")
     assert (status, len(body)) == (200, length)
-    assert asked(kind, f"GET /jobs/{name}") == 1
+    assert count_requests(server_class, f"GET /jobs/{name}") == 1
 
 
-def test_an_answer_beyond_the_bound_is_refused_once(served: tuple[int, type[Server]]) -> None:
-    port, kind = served
-    status, body, _ = ask(port, "GET", "/jobs/huge")
+def test_answer_over_the_size_limit_is_refused_without_a_retry(sidecar: tuple[int, type[Server]]) -> None:
+    port, server_class = sidecar
+    status, body, _ = send_request(port, "GET", "/jobs/huge")
     assert status == 502 and b"limits.body_mb" in body
-    assert asked(kind, "GET /jobs/huge") == 1  # no other server's would be shorter
+    # Not retried: the answer of another server would have the same length.
+    assert count_requests(server_class, "GET /jobs/huge") == 1
 
 
-def test_a_long_error_is_a_failure_and_another_server_is_asked(served: tuple[int, type[Server]]) -> None:
-    port, kind = served
-    status, body, _ = ask(port, "GET", "/jobs/failing")
+def test_long_error_answer_is_retried_on_another_server(sidecar: tuple[int, type[Server]]) -> None:
+    port, server_class = sidecar
+    status, body, _ = send_request(port, "GET", "/jobs/failing")
     assert status in (502, 503) and b"limits.body_mb" not in body
-    assert asked(kind, "GET /jobs/failing") > 1
+    assert count_requests(server_class, "GET /jobs/failing") > 1
 
 
-def test_long_bodies_go_up_with_a_length_in_chunks_and_after_100_continue(
-    served: tuple[int, type[Server]],
+def test_long_request_bodies_pass_with_a_length_in_chunks_and_after_100_continue(
+    sidecar: tuple[int, type[Server]],
 ) -> None:
-    port, _ = served
+    port, _ = sidecar
     key = {"Idempotency_Key": "k-1"}
-    assert ask(port, "POST", "/jobs", b"b" * LONG, **key)[:2] == (200, str(LONG).encode())
+    assert send_request(port, "POST", "/jobs", b"b" * LONG_BODY_BYTES, **key)[:2] == (
+        200,
+        str(LONG_BODY_BYTES).encode(),
+    )
     chunks = (b"%x\r\n%b\r\n" % (len(p), p) for p in [b"c" * MB] * 3 + [b""])
-    got = ask(port, "POST", "/jobs", chunks, Transfer_Encoding="chunked", **key)
+    got = send_request(port, "POST", "/jobs", chunks, Transfer_Encoding="chunked", **key)
     assert got[:2] == (200, str(3 * MB).encode())
     with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as caller:
         head = "POST /jobs HTTP/1.1\r\nHost: a\r\nIdempotency-Key: k\r\nExpect: 100-continue\r\n"
         caller.sendall(f"{head}Content-Length: {MB}\r\n\r\n".encode())
         reader = caller.makefile("rb")
-        assert reader.readline() == b"HTTP/1.1 100 Continue\r\n"  # nothing of the body has been sent yet
+        assert reader.readline() == b"HTTP/1.1 100 Continue\r\n"  # before any of the body was sent
         caller.sendall(b"d" * MB)
         assert reader.readline() == b"\r\n"
         assert reader.readline() == b"HTTP/1.1 200 OK\r\n"
 
 
-def test_head_is_taken_wherever_get_is(served: tuple[int, type[Server]]) -> None:
-    port, _ = served
-    status, body, _ = ask(port, "HEAD", "/jobs/long")
+def test_head_is_accepted_wherever_get_is(sidecar: tuple[int, type[Server]]) -> None:
+    port, _ = sidecar
+    status, body, _ = send_request(port, "HEAD", "/jobs/long")
     assert (status, body) == (200, b"")
-    assert ask(port, "HEAD", "/fees")[0] == 405  # no GET there
+    assert send_request(port, "HEAD", "/fees")[0] == 405  # the class doesn't accept GET
 
 
-def test_answers_without_a_body_and_packed_ones_pass_unchanged(served: tuple[int, type[Server]]) -> None:
-    port, _ = served
+def test_bodyless_and_compressed_answers_pass_unchanged(sidecar: tuple[int, type[Server]]) -> None:
+    port, _ = sidecar
     for status in (204, 304):
-        got, body, answer = ask(port, "GET", f"/jobs/{status}")
+        got, body, answer = send_request(port, "GET", f"/jobs/{status}")
         assert (got, body, answer.getheader("Transfer-Encoding")) == (status, b"", None)
-        got, body, answer = ask(port, "GET", f"/events/{status}")  # of a class whose answers live on
+        got, body, answer = send_request(port, "GET", f"/events/{status}")  # a class with streamed answers
         assert (got, body, answer.getheader("Transfer-Encoding")) == (status, b"", None)
-    _, body, answer = ask(port, "GET", "/jobs/packed")
+    _, body, answer = send_request(port, "GET", "/jobs/packed")
     assert answer.getheader("Content-Encoding") == "gzip" and gzip.decompress(body) == b"frame " * 1000
 
 
-def test_each_event_of_a_feed_comes_before_the_next_is_made(served: tuple[int, type[Server]]) -> None:
-    port, kind = served
+def test_each_streamed_event_arrives_before_the_next_is_sent(sidecar: tuple[int, type[Server]]) -> None:
+    port, server_class = sidecar
 
     async def read() -> list[bytes]:
         wait = aiohttp.ClientTimeout(total=TIMEOUT_S)
@@ -239,34 +245,34 @@
             while line := await got.content.readline():
                 if line != b"\n":
                     events.append(line)
-                    kind.go_on.set()
+                    server_class.proceed.set()
         return events
 
     assert asyncio.run(read()) == [b"data: 0\n", b"data: 1\n", b"data: 2\n"]
-    assert asked(kind, "GET /events/feed") == 1
+    assert count_requests(server_class, "GET /events/feed") == 1
 
 
-def test_of_a_class_that_streams_the_first_bytes_come_at_once_whatever_the_length(
-    served: tuple[int, type[Server]],
+def test_streaming_class_passes_first_bytes_at_once_with_a_content_length(
+    sidecar: tuple[int, type[Server]],
 ) -> None:
-    port, kind = served
+    port, server_class = sidecar
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=TIMEOUT_S)
     connection.request("GET", "/events/part")
-    got = connection.getresponse()  # the server waits for us
+    got = connection.getresponse()  # the server waits for `proceed` before it sends the rest
     assert got.read(5) == b"first"
-    kind.go_on.set()
+    server_class.proceed.set()
     assert got.read() == b"later"
     connection.close()
 
 
-def test_a_feed_that_lives_on_does_not_hold_up_the_end(tmp_path: Path) -> None:
-    with example(tmp_path) as (port, kind, process):
+def test_open_stream_does_not_delay_the_shutdown(tmp_path: Path) -> None:
+    with example(tmp_path) as (port, server_class, process):
         with socket.create_connection(("127.0.0.1", port), TIMEOUT_S) as caller:
             caller.sendall(b"GET /events/feed HTTP/1.1\r\nHost: a\r\n\r\n")
             reader = caller.makefile("rb")
             assert reader.readline() == b"HTTP/1.1 200 OK\r\n"
             process.terminate()
             assert process.wait(TIMEOUT_S) == 0
-            rest = reader.read()  # the feed was cut, which its framing tells
+            rest = reader.read()  # the stream was cut off: its last chunk is missing
             assert b"data: 0" in rest and not rest.endswith(b"0\r\n\r\n")
-        kind.go_on.set()
+        server_class.proceed.set()
--- a/tests/cli/test_operator.py
+++ b/tests/cli/test_operator.py
@@ -1,4 +1,4 @@
-"""check, new, run, diff and schema as people and programs meet them."""
+"""The subcommands check, new, run, diff and schema: their output, files and exit statuses."""
 
 from __future__ import annotations
 
@@ -26,36 +26,38 @@
 
 
 @pytest.fixture
-def good(tmp_path: Path) -> str:
+def valid_path(tmp_path: Path) -> str:
     (tmp_path / "good.toml").write_text(GOOD)
     return str(tmp_path / "good.toml")
 
 
-def test_a_good_file_is_fine(good: str, capsys: pytest.CaptureFixture[str]) -> None:
-    assert command.run(["check", good]) == 0
-    assert capsys.readouterr().out == f"{good}: fine\n"
+def test_check_accepts_a_valid_file(valid_path: str, capsys: pytest.CaptureFixture[str]) -> None:
+    assert command.run(["check", valid_path]) == 0
+    assert capsys.readouterr().out == f"{valid_path}: fine\n"
 
 
-def test_every_mistake_has_its_line(tmp_path: Path, good: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_reports_every_mistake_with_its_line(
+    tmp_path: Path, valid_path: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text(good_file_with(("share = 0.4", "share = 0.5"), ("serve_s = 2", "serv_s = 2")))
-    assert command.run(["check", good, str(bad)]) == 2
+    assert command.run(["check", valid_path, str(bad)]) == 2
     assert capsys.readouterr().out == (
-        f"{good}: fine\n"
+        f"{valid_path}: fine\n"
         f"{bad}:10: drain.serv_s: unknown key; did you mean 'serve_s'?\n"
         f"{bad}:35: applications[0].tenants: the shares add up to 110%; at most 100%: otherwise the shares "
         "can't all be used at once\n"
     )
     assert command.run(["check", str(bad), "--json"]) == 2
-    told = json.loads(capsys.readouterr().out)
-    assert told["fine"] is False
-    assert [(f["key"], f["line"], f["warning"]) for f in told["findings"]] == [
+    result = json.loads(capsys.readouterr().out)
+    assert result["fine"] is False
+    assert [(f["key"], f["line"], f["warning"]) for f in result["findings"]] == [
         ("drain.serv_s", 10, False),
         ("applications[0].tenants", 35, False),
     ]
 
 
-def test_a_file_that_is_no_toml_is_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_reports_invalid_toml_in_one_line(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     bad = tmp_path / "bad.toml"
     bad.write_text("version = 1\nnonsense\n")
     assert command.run(["check", str(bad)]) == 2
@@ -63,18 +65,17 @@
     assert out.startswith(f"{bad}:2: invalid TOML: ") and out.count("\n") == 1
 
 
-def test_a_warning_refuses_nothing(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_accepts_a_file_with_a_warning(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "f.toml"
     path.write_text(good_file_with(("127.0.0.1:17071", "0.0.0.0:17071")))
     assert command.run(["check", str(path)]) == 0
     assert "warning: applications[1].listen: listens on every address" in capsys.readouterr().out
 
 
-def test_names_are_resolved_when_asked(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_resolves_names_only_with_resolve(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "f.toml"
-    path.write_text(
-        good_file_with(("localhost:18003", "no-such-host.invalid:18003"))
-    )  # RFC 6761, 6.4: never resolves
+    # RFC 6761, section 6.4: names in .invalid never resolve.
+    path.write_text(good_file_with(("localhost:18003", "no-such-host.invalid:18003")))
     assert command.run(["check", str(path)]) == 0
     assert command.run(["check", str(path), "--resolve"]) == 2
     assert (
@@ -82,7 +83,7 @@
     )
 
 
-def test_a_taken_port_is_refused(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_refuses_a_port_in_use(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with socket.create_server(("127.0.0.1", 0)) as other:
         port = other.getsockname()[1]
         path = tmp_path / "f.toml"
@@ -91,21 +92,23 @@
     assert f"applications[0].listen: 127.0.0.1:{port} is taken" in capsys.readouterr().out
 
 
-def test_a_difference_is_told(tmp_path: Path, good: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_diff_prints_the_differences(
+    tmp_path: Path, valid_path: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     other = tmp_path / "other.toml"
     other.write_text(
         good_file_with(("memory_mb = 256", "memory_mb = 512"), ("deadline_ms = 3000", "deadline_ms = 3100"))
     )
-    assert command.run(["diff", good, str(other)]) == 0
+    assert command.run(["diff", valid_path, str(other)]) == 0
     assert capsys.readouterr().out == (
         "limits.memory_mb: 512, was 256  [after a restart]\nrender.frame.deadline_ms: 3100, was 3000\n"
     )
-    assert command.run(["diff", good, good]) == 0
+    assert command.run(["diff", valid_path, valid_path]) == 0
     assert capsys.readouterr().out == "no difference in behaviour\n"
-    assert command.run(["diff", good, "nowhere"]) == 2
+    assert command.run(["diff", valid_path, "nowhere"]) == 2
 
 
-def test_the_schema_names_every_key(capsys: pytest.CaptureFixture[str]) -> None:
+def test_schema_contains_the_keys_and_definitions(capsys: pytest.CaptureFixture[str]) -> None:
     assert command.run(["schema"]) == 0
     schema = json.loads(capsys.readouterr().out)
     assert schema["$schema"].endswith("2020-12/schema")
@@ -131,9 +134,7 @@
 """
 
 
-def test_a_file_is_written_checked_and_written_again(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_new_writes_a_valid_file_and_merges_edits(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     source, target = tmp_path / "d.toml", tmp_path / "f.toml"
     source.write_text(DESCRIPTION)
     assert command.run(["new", str(source), "-o", str(target)]) == 0
@@ -159,7 +160,7 @@
     assert "/theirs/**" in target.read_text()
 
 
-def test_a_file_of_somebody_else_is_not_lost(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_new_does_not_overwrite_a_foreign_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     source, target = tmp_path / "d.toml", tmp_path / "f.toml"
     source.write_text(DESCRIPTION)
     target.write_text("# mine\n")
@@ -176,33 +177,33 @@
         (('"127.0.0.1:18001"', '"127.0.0.1:x"'), "not a host name and port"),
     ],
 )
-def test_a_description_that_can_not_be_is_refused(
+def test_new_refuses_an_invalid_description(
     edit: tuple[str, str], wanted: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     source = tmp_path / "d.toml"
     source.write_text(DESCRIPTION.replace(*edit))
     assert command.run(["new", str(source)]) == 2
-    told = capsys.readouterr()
-    assert wanted in told.err and "Traceback" not in told.err and told.out == ""
+    result = capsys.readouterr()
+    assert wanted in result.err and "Traceback" not in result.err and result.out == ""
 
 
-def test_questions_give_the_same_file(tmp_path: Path) -> None:
+def test_new_with_questions_writes_the_same_file(tmp_path: Path) -> None:
     answers = "survey\nrender\n127.0.0.1:18001\n2000\n0\ny\nframe\n/frames/**\nGET\nfreely\nn\nn\n"
-    source, asked, written = tmp_path / "questions", tmp_path / "a.toml", tmp_path / "w.toml"
+    source, asked_path, generated_path = tmp_path / "questions", tmp_path / "a.toml", tmp_path / "w.toml"
     source.write_text(DESCRIPTION)
     done = subprocess.run(
-        [sys.executable, "-m", "passpost.cli", "new", "--ask", "-o", str(asked)],
+        [sys.executable, "-m", "passpost.cli", "new", "--ask", "-o", str(asked_path)],
         input=answers, text=True, capture_output=True,
     )  # fmt: skip
     assert done.returncode == 0, done.stderr
-    assert command.run(["new", str(source), "-o", str(written)]) == 0
-    assert asked.read_text() == written.read_text()
+    assert command.run(["new", str(source), "-o", str(generated_path)]) == 0
+    assert asked_path.read_text() == generated_path.read_text()
 
 
-# ---- run: a real process
+# ---- run, in a separate process
 
 
-class _Server(BaseHTTPRequestHandler):
+class _EchoServer(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
@@ -218,7 +219,7 @@
 
 @contextmanager
 def upstream() -> Iterator[int]:
-    server = ThreadingHTTPServer(("127.0.0.1", 0), _Server)
+    server = ThreadingHTTPServer(("127.0.0.1", 0), _EchoServer)
     server.daemon_threads = True
     thread = Thread(target=server.serve_forever, daemon=True)
     thread.start()
@@ -273,7 +274,7 @@
         process.communicate()
 
 
-def test_a_sidecar_serves_reloads_and_ends(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_run_serves_reloads_and_stops(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     source, path, port = tmp_path / "d.toml", tmp_path / "f.toml", free_port()
     with upstream() as server:
         text = DESCRIPTION.replace("18001", str(server)).replace(
@@ -286,7 +287,8 @@
             status, body, _ = get(port, "/frames/1")
             assert status == 200 and body.startswith("/frames/1 render-")
             assert get(port, "/health/ready")[2] == "passpost/render"
-            assert command.run(["check", str(path)]) == 0  # it runs by this very file
+            # The port is held by the sidecar that runs with this file.
+            assert command.run(["check", str(path)]) == 0
             path.write_text(path.read_text().replace("/frames/**", "/stills/**"))
             process.send_signal(signal.SIGHUP)
             for _ in range(int(TIMEOUT_S / 0.05)):
@@ -300,11 +302,11 @@
             assert "render.frame.path: '/stills/**', was '/frames/**'" in log
 
 
-def test_an_operators_file_is_carried_beside_the_platforms_balancer(tmp_path: Path) -> None:
-    port, own = free_port(), free_port()
+def test_operators_file_is_served_beside_the_platforms_balancer(tmp_path: Path) -> None:
+    port, platform_port = free_port(), free_port()
     with upstream() as server:
         config, path = tmp_path / "config.json", tmp_path / "f.toml"
-        data = config_data([member("s0", f"127.0.0.1:{server}")]) | {"listen": f"127.0.0.1:{own}"}
+        data = config_data([member("s0", f"127.0.0.1:{server}")]) | {"listen": f"127.0.0.1:{platform_port}"}
         config.write_text(json.dumps(data))
         source = tmp_path / "d.toml"
         source.write_text(
@@ -315,7 +317,7 @@
         assert command.run(["new", str(source), "-o", str(path)]) == 0
         arguments = ("-m", "passpost", "--operator", str(path))
         with run_process(path, *arguments, EDGE_CONFIG=str(config)) as process:
-            wait_until_ready(own, process)
+            wait_until_ready(platform_port, process)
             wait_until_ready(port, process)
             assert get(port, "/frames/1")[0] == 200
             process.send_signal(signal.SIGTERM)
@@ -327,7 +329,7 @@
         assert process.returncode == 2 and "invalid TOML" in log and "Traceback" not in log
 
 
-def test_a_second_sidecar_on_a_port_ends_with_one_line(tmp_path: Path) -> None:
+def test_run_on_a_port_in_use_ends_with_a_one_line_error(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     with socket.create_server(("127.0.0.1", 0)) as other:
         port = other.getsockname()[1]
@@ -338,7 +340,7 @@
     assert "in use" in log.strip().split("\n")[-1]
 
 
-def test_a_file_with_a_mistake_is_not_run(tmp_path: Path) -> None:
+def test_run_refuses_a_file_with_a_mistake(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_text(good_file_with(("share = 0.4", "share = 0.5")))
     with run_process(path) as process:
--- a/tests/operator/test_sidecar.py
+++ b/tests/operator/test_sidecar.py
@@ -358,9 +358,8 @@
             await asyncio.sleep(0.05)
         await asyncio.gather(*callers)
         assert len(results) == 320 and all(r is not None and r.status == 200 for r in results)
-        assert (
-            len(sidecar.served["render"]._replaced_engines) <= 2
-        )  # engines without open requests are dropped
+        # Engines without open requests are dropped.
+        assert len(sidecar.served["render"]._replaced_engines) <= 2
 
         last = asyncio.ensure_future(harness.request(RENDER, "/frames/last"))
         await asyncio.sleep(0.0004)
--- a/tests/operator/test_sources.py
+++ b/tests/operator/test_sources.py
@@ -78,9 +78,8 @@
         resolver.answers["a"] = ["10.0.0.1", "10.0.0.2"]
         source.start(recorded)
         await asyncio.sleep(25)
-        assert resolver.call_count == 3 and recorded.lists == [
-            ["10.0.0.1:80", "10.0.0.2:80"]
-        ]  # reported only on changes
+        # The list is reported only when it changes.
+        assert resolver.call_count == 3 and recorded.lists == [["10.0.0.1:80", "10.0.0.2:80"]]
         resolver.answers["a"] = ["10.0.0.2", "10.0.0.3"]
         await asyncio.sleep(10)
         assert recorded.lists[1:] == [["10.0.0.2:80", "10.0.0.3:80"]]
@@ -182,14 +181,14 @@
 def test_list_is_the_union_of_the_last_addresses_of_each_source(
     steps: list[tuple[str, list[Address]]],
 ) -> None:
-    known, wanted, last = Membership(), dict[str, set[Address]](), None
+    membership, expected, last = Membership(), dict[str, set[Address]](), None
     for now, (source, found) in enumerate(steps, 1):
-        known.set_addresses(source, found)
+        membership.set_addresses(source, found)
         if found:
-            wanted[source] = set(found)
-        union = sorted(set().union(*wanted.values()))
-        assert known.addresses() == union
-        update = known.update(float(now))
+            expected[source] = set(found)
+        union = sorted(set().union(*expected.values()))
+        assert membership.addresses() == union
+        update = membership.update(float(now))
         assert (update is not None) == (union != (last or []))
         last = union
-        assert known.update(float(now)) is None
+        assert membership.update(float(now)) is None
