--- a/passpost/operator/checks.py
+++ b/passpost/operator/checks.py
@@ -16,9 +16,8 @@
 from passpost.operator.reader import ParsedFile, Problem
 from passpost.operator.routes import covers, overlap, segments
 
-OTHER_DESCRIPTORS = (
-    32  # listening sockets, discovery, the event loop, files, and sockets whose close is not complete
-)
+# Descriptors for listening sockets, discovery, the event loop, files, and sockets whose close is not complete.
+OTHER_DESCRIPTORS = 32
 BUFFERS_PER_CONNECTION_KB = 2  # in addition to the body
 BASE_MEMORY_MB = 24  # an idle process: 13 to 16 MB measured on the platform, plus a margin
 FIRST_UNPRIVILEGED_PORT = 1024  # a process needs privileges to listen on a lower port
@@ -100,8 +99,8 @@
     if needed_descriptors > limits.descriptors and (limits.connections or limits.upstream_connections):
         key = "limits.connections" if limits.connections else "limits.upstream_connections"
         text = (
-            f"{callers} client and {upstreams} upstream connections need {needed_descriptors} descriptors; "
-            "there are "
+            f"{callers} client and {upstreams} upstream connections need {needed_descriptors} descriptors, "
+            "but there are "
         )
         yield Problem(key, f"{text}{limits.descriptors}", f"raise limits.descriptors to {needed_descriptors}")
     share = min(callers, upstreams) // max(len(file.applications), 1)
@@ -117,8 +116,8 @@
     worst_case_mb = BASE_MEMORY_MB + callers * (limits.body_kb + BUFFERS_PER_CONNECTION_KB) / 1024
     if worst_case_mb > limits.memory_mb:
         text = (
-            f"{callers} client connections with bodies of {limits.body_kb} KB may need {worst_case_mb:.0f} MB; "
-            "there are "
+            f"{callers} client connections with bodies of {limits.body_kb} KB may need {worst_case_mb:.0f} MB, "
+            "but there are "
         )
         yield Problem(
             "limits.memory_mb",
@@ -270,7 +269,7 @@
     cold = application.cold
     if cold.span_ms and cold.window_ms > cold.span_ms:
         text = f"a window of {cold.window_ms:g} ms is longer than the cold period of {cold.span_ms:g} ms"
-        yield Problem(f"{key}.cold.window_ms", text, "less than cold.span_ms", True)
+        yield Problem(f"{key}.cold.window_ms", text, "at most cold.span_ms", True)
 
 
 def _check_upstreams(application: Application, key: str) -> Iterator[Problem]:
@@ -354,13 +353,15 @@
         elif not re.fullmatch(r"[\x20-\x7e]*", value):
             yield Problem(at, "has a character that is not allowed in a header", "printable ASCII")
     identity = application.identity
-    own = [identity.id_header, identity.tenant_header, identity.deadline_header]
-    for a, b in combinations(("id_header", "tenant_header", "deadline_header"), 2):
-        if getattr(identity, a).lower() == getattr(identity, b).lower():
+    header_names = [identity.id_header, identity.tenant_header, identity.deadline_header]
+    for earlier, later in combinations(("id_header", "tenant_header", "deadline_header"), 2):
+        if getattr(identity, earlier).lower() == getattr(identity, later).lower():
             yield Problem(
-                f"{key}.identity.{b}", f"is {getattr(identity, b)!r}, the same as {a}", "another header"
+                f"{key}.identity.{later}",
+                f"is {getattr(identity, later)!r}, the same as {earlier}",
+                "another header",
             )
-    for name in own:
+    for name in header_names:
         if name.lower() in _RESERVED_HEADERS:
             yield Problem(f"{key}.identity", f"{name!r} is reserved by HTTP", "another header")
 
--- a/passpost/operator/diff.py
+++ b/passpost/operator/diff.py
@@ -50,23 +50,32 @@
     found: list[Change] = []
     for info in msgspec.structs.fields(Application):
         field = info.name
-        a, b = getattr(old, field), getattr(new, field)
-        if a == b or field == "classes":
+        old_value, new_value = getattr(old, field), getattr(new, field)
+        if old_value == new_value or field == "classes":
             continue
         key = f"{new.name}.{field}"
-        if field == "upstreams" and type(a) is not type(b):
-            text = f"upstreams come from {_source_kind(b)} instead of {_source_kind(a)}"
+        if field == "upstreams" and type(old_value) is not type(new_value):
+            text = f"upstreams come from {_source_kind(new_value)} instead of {_source_kind(old_value)}"
             found.append(Change(key, text))
-        elif isinstance(b, Part):
-            found += _field_changes(key, a, b, restart=field in RESTART_FIELDS)
+        elif isinstance(new_value, Part):
+            found += _field_changes(key, old_value, new_value, restart=field in RESTART_FIELDS)
         elif field == "tenants":
             found += _tenant_changes(old, new)
         elif field == "add_headers":
             found.append(
-                Change(key, f"added headers: {', '.join(b) or 'none'}; before: {', '.join(a) or 'none'}")
+                Change(
+                    key,
+                    f"added headers: {', '.join(new_value) or 'none'}; before: {', '.join(old_value) or 'none'}",
+                )
             )
         else:
-            found.append(Change(key, f"{_format_value(b)}, was {_format_value(a)}", field in RESTART_FIELDS))
+            found.append(
+                Change(
+                    key,
+                    f"{_format_value(new_value)}, was {_format_value(old_value)}",
+                    field in RESTART_FIELDS,
+                )
+            )
     return found + _class_changes(old, new)
 
 
@@ -75,19 +84,19 @@
     after = {t.name: t.share for t in new.tenants}
     found = []
     for name in dict.fromkeys([*before, *after]):
-        a, b = before.get(name), after.get(name)
+        old_value, new_value = before.get(name), after.get(name)
         key = f"{new.name}.tenants.{name}"
-        if b is None:
+        if new_value is None:
             found.append(Change(key, "no longer has a share"))
-        elif a is None:
-            found.append(Change(key, f"has a share of {b:.0%}"))
-        elif a != b:
-            found.append(Change(key, f"may use {b:.0%}, was {a:.0%}"))
+        elif old_value is None:
+            found.append(Change(key, f"has a share of {new_value:.0%}"))
+        elif old_value != new_value:
+            found.append(Change(key, f"may use {new_value:.0%}, was {old_value:.0%}"))
     return found
 
 
 def _class_changes(old: Application, new: Application) -> list[Change]:
-    before, after = ({c.name: c for c in x.classes} for x in (old, new))
+    before, after = ({c.name: c for c in application.classes} for application in (old, new))
     found = []
     for name, cls in before.items():
         if name not in after:
@@ -117,9 +126,9 @@
 
 def _field_changes(key: str, old: Any, new: Any, restart: bool) -> list[Change]:
     return [
-        Change(f"{key}.{info.name}", f"{_format_value(b)}, was {_format_value(a)}", restart)
+        Change(f"{key}.{info.name}", f"{_format_value(new_value)}, was {_format_value(old_value)}", restart)
         for info in msgspec.structs.fields(type(new))
-        if (a := getattr(old, info.name)) != (b := getattr(new, info.name))
+        if (old_value := getattr(old, info.name)) != (new_value := getattr(new, info.name))
     ]
 
 
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar: serves every application of an operator's file with the same engine and decision module as the platform.
+"""The sidecar: serves every application of an operator's file with the engine and module of the platform's balancer.
 
 A reload first builds everything that is new and changes nothing if any part of that fails. Requests that are open at
 a reload are answered by the engine that accepted them, with the classes and limits in force at that time.
--- a/passpost/operator/writer.py
+++ b/passpost/operator/writer.py
@@ -19,7 +19,7 @@
 from passpost.operator.model import Application, Class, Drain, File, Names, Part, Static, Tenant
 
 FIRST_PORT = 7070
-SAFE_ATTEMPTS, KEYED_ATTEMPTS = 3, 2  # attempts; a keyed request must have fewer attempts than a safe one
+SAFE_ATTEMPTS, KEYED_ATTEMPTS = 3, 2  # a keyed request must have fewer attempts than a safe one
 KEY_WINDOW_SHARE = 0.9  # share of the key's window within which the last attempt must start
 COMMENT_WIDTH = 100
 
@@ -35,7 +35,7 @@
             while ("127.0.0.1", port) in taken:
                 port += 1
             listen, port = f"127.0.0.1:{port}", port + 1
-        applications.append(_application(service, listen))
+        applications.append(_build_application(service, listen))
     longest_deadline_s = max(c.deadline_ms for a in applications for c in a.classes) / 1000
     serve = max(min(2.0, description.kill_after_s - longest_deadline_s - 1.5), 0.0)
     return File(
@@ -46,7 +46,7 @@
     )
 
 
-def _application(service: Service, listen: str) -> Application:
+def _build_application(service: Service, listen: str) -> Application:
     host_ports = [split_host_port(a) for a in service.at]
     all_ip_addresses = all(p is not None and is_ip_address(p[0]) for p in host_ports)
     requests = service.requests or (Request(name="any"),)
@@ -54,13 +54,13 @@
         name=service.service,
         listen=listen,
         upstreams=Static(addresses=service.at) if all_ip_addresses else Names(names=service.at),
-        classes=tuple(_class(r, service) for r in requests),
+        classes=tuple(_build_class(r, service) for r in requests),
         attempts=SAFE_ATTEMPTS,
         rate_per_s=service.rate_per_s,
     )
 
 
-def _class(request: Request, service: Service) -> Class:
+def _build_class(request: Request, service: Service) -> Class:
     waits = request.waits_ms or service.waits_ms
     base: dict[str, Any] = {
         "name": request.name,
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -116,7 +116,7 @@
     """Runs the plan with processes."""
 
     def __init__(self, path: str, count: int) -> None:
-        """Raises UnreadableError, UnusableError, ValueError or OSError, as a start without workers does."""
+        """Raises UnreadableError, InvalidFileError, ValueError or OSError, as a start without workers does."""
         self._path, self._count = path, count
         self._file = load_valid_file(path)
         divided(self._file, count)
--- a/tests/operator/test_broken.py
+++ b/tests/operator/test_broken.py
@@ -114,7 +114,7 @@
     ("kill_after_s = 30", "kill_after_s = 5", "drain.kill_after_s",
      "draining for 2 s, then up to 3 s of open requests, takes 6 s, but the process is killed after 5 s", "at least 6"),
     ("descriptors = 1024", "descriptors = 1024\nconnections = 900", "limits.connections",
-     "900 client and 358 upstream connections need 1292 descriptors; there are 1024", "to 1292"),
+     "900 client and 358 upstream connections need 1292 descriptors, but there are 1024", "to 1292"),
     # values: headers
     ("X-Studio = \"north\"", "Authorization = \"Bearer abc\"", "applications[0].add_headers.Authorization",
      "a secret in plain text", "env:VARIABLE"),
