--- a/passpost/cli/logs.py
+++ b/passpost/cli/logs.py
@@ -11,8 +11,8 @@
 from rich.table import Table
 
 from passpost.cli.command import UnusableInputError
-from passpost.trace.folder import NoTraceError, steps
-from passpost.trace.tables import Row, Step, add_up, around, follow
+from passpost.trace.folder import NoTraceError, read_records
+from passpost.trace.tables import RequestRecord, Row, find_request, server_timeline, summarize
 
 MAX_ROWS = 20  # of upstreams, without --all
 
@@ -62,7 +62,7 @@
 
 
 def _print_totals(folder: Path, show_all: bool, as_json: bool) -> int:
-    tables = add_up(steps(folder))
+    tables = summarize(read_records(folder))
     if as_json:
         named = {n: [{"name": r[0], **r[1]} for r in rows] for n, rows in asdict(tables).items()}
         click.echo(json.dumps(named, indent=1))
@@ -86,39 +86,39 @@
 
 
 def _print_request(folder: Path, txn: str, as_json: bool) -> int:
-    parts = follow(steps(folder), txn)
+    records = find_request(read_records(folder), txn)
     if as_json:
-        click.echo(json.dumps([_step_as_json(part) for part in parts], indent=1))
-    elif not parts:
+        click.echo(json.dumps([_record_as_json(record) for record in records], indent=1))
+    elif not records:
         click.echo(f"no balancer has traced {txn}")
     else:
-        for part in parts:
-            _print_step(part)
-    return 0 if parts else 1
+        for record in records:
+            _print_record(record)
+    return 0 if records else 1
 
 
 def _print_server(folder: Path, server: str, balancer: str | None, as_json: bool) -> int:
-    moments = around(steps(folder), server, balancer)
+    events = server_timeline(read_records(folder), server, balancer)
     if as_json:
-        click.echo(json.dumps([asdict(moment) for moment in moments], indent=1))
-    elif not moments:
+        click.echo(json.dumps([asdict(event) for event in events], indent=1))
+    elif not events:
         click.echo(f"no balancer has traced {server}")
     else:
-        for one in moments:
-            late = f" [{one.late_ms} ms after the first notice]" if one.late_ms else ""
-            click.echo(f"{one.at_ms} ms {one.balancer}: {one.text}{late}")
-    return 0 if moments else 1
+        for event in events:
+            late = f" [{event.late_ms} ms after the first notice]" if event.late_ms else ""
+            click.echo(f"{event.at_ms} ms {event.balancer}: {event.text}{late}")
+    return 0 if events else 1
 
 
-def _step_as_json(step: Step) -> dict[str, object]:
-    entry = step.entry
-    return {"balancer": step.balancer, **asdict(entry), "end": entry.end.value}
+def _record_as_json(record: RequestRecord) -> dict[str, object]:
+    entry = record.entry
+    return {"balancer": record.balancer, **asdict(entry), "end": entry.end.value}
 
 
-def _print_step(step: Step) -> None:
-    entry = step.entry
+def _print_record(record: RequestRecord) -> None:
+    entry = record.entry
     click.echo(
-        f"{step.balancer}: {entry.txn} {entry.class_name} at {entry.at_ms} ms:"
+        f"{record.balancer}: {entry.txn} {entry.class_name} at {entry.at_ms} ms:"
         f" {entry.end.value} after {entry.took_ms} ms"
     )
     for one in entry.tries:
