--- a/passpost/engine.py
+++ b/passpost/engine.py
@@ -15,7 +15,7 @@
 from passpost.host import HOST, Host
 from passpost.http1 import Address, Answer
 from passpost.streams import Sink, Source
-from passpost.upstreams.attempt import Attempt, Outgoing
+from passpost.upstreams.attempt import Attempt, OutgoingRequest
 from passpost.upstreams.pool import Upstreams
 from umberworks import interface
 from umberworks.interface import Outcome
@@ -46,7 +46,7 @@
 class _OpenRequest:
     """A request that has no final answer yet, or that still has unfinished attempts."""
 
-    def __init__(self, caller: Caller, outgoing: Outgoing) -> None:
+    def __init__(self, caller: Caller, outgoing: OutgoingRequest) -> None:
         self.caller, self.outgoing = caller, outgoing
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.due_s = 0.0  # when the timer fires, in seconds of the event loop's clock
@@ -112,12 +112,12 @@
 
         The addresses are stored first, because the module may send to a new server at once.
         """
-        self._upstreams.route(addresses)
+        self._upstreams.set_addresses(addresses)
         self._process_list_update(update)
 
     def list_slice_updated(self, update: interface.ListUpdate, addresses: dict[str, Address]) -> None:
         """Process changes of the server list, with the addresses of the changed members only."""
-        self._upstreams.reroute([m.server for m in update.members], addresses)
+        self._upstreams.update_addresses([m.server for m in update.members], addresses)
         self._process_list_update(update)
 
     def _process_list_update(self, update: interface.ListUpdate) -> None:
@@ -138,7 +138,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
@@ -205,7 +205,7 @@
         request = self._requests.get(number)
         if request is not None and request.started_attempt is not None:
             loop = asyncio.get_running_loop()
-            if (cutoff_s := request.started_attempt.over_at(request.due_s)) > loop.time():
+            if (cutoff_s := request.started_attempt.answer_deadline(request.due_s)) > loop.time():
                 request.deadline_timer = loop.call_at(cutoff_s, self._on_deadline, number)
                 return
             log.warning("request %d: cutting off its answer, which did not end in time", number)
@@ -309,7 +309,7 @@
             return self._start_answer(number, request, index, answer, length, source)
 
         attempt = self._upstreams.send(server, request.outgoing, action.timeout_ms / 1000, done, may_go)
-        attempt.begin = begin
+        attempt.on_answer_start = begin
         if not attempt.is_over():
             request.attempts[index] = attempt
 
--- a/tests/test_long_lists.py
+++ b/tests/test_long_lists.py
@@ -16,7 +16,7 @@
 from passpost.discovery import Discovery
 from passpost.http1 import Address
 from passpost.listing import Listing, parse_address, parse_listing
-from tests.loopback import FakeServer, answer_json, balancer, listing, member, run, until
+from tests.loopback import FakeServer, answer_json, balancer, listing, member, run, wait_until
 from umberworks.interface import ListKind, ListUpdate, Member, Readiness
 
 
@@ -158,19 +158,19 @@
         await agent.start()
         discovery = Discovery(parse_address(agent.host_port), parse_listing(listing(1)), pushed=True)
         discovery.start(recorder.on_update, recorder.on_slice)
-        await until(lambda: len(discovery.members) == 10_000)
+        await wait_until(lambda: len(discovery.members) == 10_000)
         assert max(len(u.members) for u, _ in recorder.parts) <= long_lists.MEMBERS_PER_UPDATE
         assert {u.kind for u, _ in recorder.parts} == {ListKind.CHANGES}
         invalid = long_listing(10_000, 3, start=5_000)
         invalid["members"][-1]["phase"] = "nonsense"
         agent.reply = answer_json(invalid)
         calls_before, reported_before = len(agent.got), len([u for u, _ in recorder.parts if u.members])
-        await until(lambda: len(agent.got) > calls_before + 2)
+        await wait_until(lambda: len(agent.got) > calls_before + 2)
         assert (
             len([u for u, _ in recorder.parts if u.members]) == reported_before and "s0" in discovery.members
         )
         agent.reply = answer_json(long_listing(10_000, 4, start=5_000))
-        await until(lambda: "s0" not in discovery.members and len(discovery.members) == 10_000)
+        await wait_until(lambda: "s0" not in discovery.members and len(discovery.members) == 10_000)
         sizes, count = [], 10_000
         for update, _ in recorder.parts[reported_before:]:
             count += sum(1 if m.readiness is not Readiness.GONE else -1 for m in update.members)
@@ -190,7 +190,7 @@
         discovery = Discovery(parse_address(agent.host_port), parse_listing(long_listing(150, 2)))
         discovery.start(recorder.on_update, recorder.on_slice)
         discovery.subscribe()
-        await until(lambda: bool(recorder.parts))
+        await wait_until(lambda: bool(recorder.parts))
         assert recorder.parts[0] == (ListUpdate(ListKind.CHANGES, ()), {})
         assert len(discovery.members) == 150
         discovery.stop()
@@ -215,15 +215,15 @@
         agent = FakeServer(alternating_list(0))
         await agent.start()
         async with balancer(discovery=agent.host_port) as b:
-            await until(lambda: len(b.node.discovery.members) == 3_001)
+            await wait_until(lambda: len(b.node.discovery.members) == 3_001)
             client = await b.connect()
             for turn in range(1, 4):
                 agent.reply = alternating_list(turn)
                 first = f"s{3_000 * (turn % 2)}"
                 while first not in b.node.discovery.members:
-                    answer = await client.ask()
+                    answer = await client.fetch()
                     assert answer is not None and answer.status == 200
-                await until(lambda: len(b.node.discovery.members) == 3_001)
+                await wait_until(lambda: len(b.node.discovery.members) == 3_001)
             assert set(b.node.upstreams._pools) == set(b.node.discovery.members)
         agent.stop()
         upstream.stop()
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -31,7 +31,17 @@
     parse_request,
 )
 from passpost.trace.tables import ListCallRecord, RequestRecord, find_request, server_timeline, summarize
-from tests.loopback import Balancer, FakeServer, answer_json, config_data, listing, member, run, silent, until
+from tests.loopback import (
+    Balancer,
+    FakeServer,
+    answer_json,
+    config_data,
+    listing,
+    member,
+    never_reply,
+    run,
+    wait_until,
+)
 
 WORDS = st.text("abcXYZ019_.:-", min_size=1, max_size=12)
 ATTEMPTS = st.builds(
@@ -230,17 +240,17 @@
         def calls() -> list[ListCallEntry]:
             return [c for r in caplog.records if (c := parse_list_call(r.getMessage())) is not None]
 
-        await until(lambda: bool(calls()))
+        await wait_until(lambda: bool(calls()))
         registry.reply = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-        await until(lambda: calls()[-1].end == "status_503")
+        await wait_until(lambda: calls()[-1].end == "status_503")
         assert (calls()[0].after, calls()[0].end, calls()[0].away) == (None, "answered", (("s0", "leaving"),))
         assert calls()[-1].after == 7 and calls()[0].place == registry.host_port
-        registry.reply = silent
+        registry.reply = never_reply
         discovery.subscribe()
         calls_before = len(registry.got)
-        await until(lambda: len(registry.got) > calls_before)
+        await wait_until(lambda: len(registry.got) > calls_before)
         discovery.stop()
-        await until(lambda: calls()[-1].end == "dropped")
+        await wait_until(lambda: calls()[-1].end == "dropped")
         registry.stop()
 
     with caplog.at_level(logging.INFO, "passpost.trace.discovery"):
@@ -266,7 +276,7 @@
 @pytest.mark.parametrize("engine", [TracedEngine, TracedCountingEngine])
 def test_each_request_logs_one_line(engine: type[Engine], caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
-        good, hangs = FakeServer(), FakeServer(silent)
+        good, hangs = FakeServer(), FakeServer(never_reply)
         await good.start()
         await hangs.start()
 
@@ -278,14 +288,14 @@
 
         answering, hanging = node(good), node(hangs)
         client = await answering.connect()
-        answer = await client.ask()
+        answer = await client.fetch()
         assert answer is not None and answer.status == 200
-        await until(lambda: len(traced()) == 1)
+        await wait_until(lambda: len(traced()) == 1)
         leaver = await hanging.connect()
         leaver.send()
-        await until(lambda: bool(hangs.got))
+        await wait_until(lambda: bool(hangs.got))
         leaver.writer.close()
-        await until(lambda: len(traced()) == 2)
+        await wait_until(lambda: len(traced()) == 2)
         served, left = traced()
         assert (served.end, [t.outcome for t in served.tries]) == (RequestEnd.SERVED, ["served"])
         assert served.class_name == "read" and served.tries[0].server == "s0" and served.txn != "-"
