--- a/passpost/__main__.py
+++ b/passpost/__main__.py
@@ -39,8 +39,8 @@
     except ImportError as error:
         raise ConfigError(f"--operator needs {error.name}: pip install 'passpost[cli]'") from None
     try:
-        return sidecar.Beside(path)
-    except (UnreadableError, sidecar.UnusableError, ValueError) as error:
+        return sidecar.EmbeddedSidecar(path)
+    except (UnreadableError, sidecar.InvalidFileError, ValueError) as error:
         raise ConfigError(str(error)) from None
 
 
--- a/passpost/operator/sidecar.py
+++ b/passpost/operator/sidecar.py
@@ -1,7 +1,7 @@
-"""The sidecar itself: every application of an operator's file, each by the engine and module of the platform.
+"""The sidecar: serves every application of an operator's file with the engine and module of the platform's balancer.
 
-A reload builds all that is new first; only when nothing of it has failed does anything change. Requests that are
-open then are answered by the engine that took them, with the classes and limits under which they were taken.
+A reload first builds everything that is new and changes nothing if any part of that fails. Requests that are open at
+a reload are answered by the engine that accepted them, with the classes and limits in force at that time.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from passpost.host import HOST, Address, Host
 from passpost.http1 import Answer
 from passpost.operator import sources
-from passpost.operator.callers import PlainCallers, longest_body
-from passpost.operator.checks import connections, findings, split
+from passpost.operator.callers import RequestClassifier, max_body_bytes
+from passpost.operator.checks import connection_limits, findings, split_host_port
 from passpost.operator.diff import Change, difference
 from passpost.operator.model import Application, File
-from passpost.operator.probe import SERVER
+from passpost.operator.probe import SERVER_HEADER_PREFIX
 from passpost.operator.reader import Problem, UnreadableError, load
 from passpost.operator.settings import settings
 from passpost.upstreams.pool import Upstreams
@@ -33,36 +33,37 @@
 
 log = logging.getLogger("passpost")
 
-ANSWER_GRACE_S = 0.016  # a time-out cut to the deadline may come this much late, as on the platform
-END_S = 0.5  # between the last deadline and the end
-TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
+ANSWER_GRACE_S = 0.016  # a timeout shortened to the deadline may fire this late, as on the platform
+SHUTDOWN_MARGIN_S = 0.5  # time between the last deadline and the end of a drain
+ANSWER_TOO_LONG = Answer(502, [], b"the answer is longer than limits.body_mb", False)
 
 
-class UnusableError(Exception):
-    """A file that can't be run; `problems` has all reasons, each with its line."""
+class InvalidFileError(Exception):
+    """The file has errors and can't be run; `problems` holds all of them, each with its line."""
 
     def __init__(self, path: str, problems: list[Problem]) -> None:
         super().__init__(f"{path}: {len(problems)} mistakes" if len(problems) != 1 else f"{path}: 1 mistake")
         self.path, self.problems = path, problems
 
 
-def read(path: str) -> File:
-    """A file that is fit to run; raises UnreadableError or UnusableError."""
+def load_valid_file(path: str) -> File:
+    """Reads a file, logs its warnings, and returns it; raises UnreadableError, or InvalidFileError if it has errors."""
     reading = load(path)
     found = findings(reading)
     errors = [p for p in found if not p.warning]
     if errors or reading.file is None:
-        raise UnusableError(path, errors)
+        raise InvalidFileError(path, errors)
     for problem in found:
         log.warning("%s:%d: %s: %s", path, problem.line, problem.key, problem.text)
     return reading.file
 
 
-def outcome(answer: Answer) -> Outcome:
-    """What an ordinary server's answer means.
+def classify_answer(answer: Answer) -> Outcome:
+    """Classifies the answer of an ordinary server.
 
-    What it says of the request itself (2xx, 3xx, 4xx) is its answer. 5xx is a failure that may have run, and so
-    is 429: that trying again is harmless only the module may say, and a server's word for it can't be checked.
+    2xx, 3xx and 4xx concern the request itself and count as served. 5xx is an error after which the request may have
+    run, and so is 429: a server's claim that a retry is harmless can't be verified, and only the decision module may
+    decide that it is. A 503 or 504 with X-Turned-Away: 1 counts as turned away.
     """
     if answer.status in (503, 504) and any(
         n.lower() == b"x-turned-away" and v.strip() == b"1" for n, v in answer.headers
@@ -71,8 +72,8 @@
     return Outcome.ERROR if answer.status >= 500 or answer.status == 429 else Outcome.SERVED
 
 
-class Carried:
-    """One application: its listener, its connections, and the engine that takes its requests now."""
+class ServedApplication:
+    """One application: its listener, its upstream connections, and the engine that accepts its requests at present."""
 
     def __init__(
         self,
@@ -86,36 +87,37 @@
         self.application, self._host, self._module, self._draw = application, host, module, draw
         self._members: dict[str, Member] = {}
         self._addresses: dict[str, Address] = {}
-        self._older: list[Engine] = []  # that still have requests open
-        callers, upstreams = connections(file)
+        # Engines that a reload has replaced and that still have open requests.
+        self._replaced_engines: list[Engine] = []
+        callers, upstreams = connection_limits(file)
         share = max(len(file.applications), 1)
-        longest, kept = longest_body(file), file.limits.body_kb * 1024
+        longest, buffered_bytes = max_body_bytes(file), file.limits.body_kb * 1024
         self.upstreams = Upstreams(
             application.connect_ms / 1000,
             application.idle_s,
             upstreams // share,
             host,
-            outcome,
+            classify_answer,
             longest,
-            kept,
-            TOO_LONG,
+            buffered_bytes,
+            ANSWER_TOO_LONG,
         )
-        self.source = sources.make(application.upstreams, host)
-        self.engine = self._engine(application)
-        address = split(application.listen)
-        assert address is not None  # checked
+        self.source = sources.make_source(application.upstreams, host)
+        self.engine = self._create_engine(application)
+        address = split_host_port(application.listen)
+        assert address is not None  # guaranteed by checks.py
         self.server = Server(
             self.engine,
             address,
             callers // share,
             host,
-            PlainCallers(application, file, f"{draw(32):08x}", environment),
+            RequestClassifier(application, file, f"{draw(32):08x}", environment),
             longest,
-            f"{SERVER}{application.name}".encode(),
-            kept,
+            f"{SERVER_HEADER_PREFIX}{application.name}".encode(),
+            buffered_bytes,
         )
 
-    def _engine(self, application: Application) -> Engine:
+    def _create_engine(self, application: Application) -> Engine:
         return Engine(
             settings(application),
             self._draw(64),
@@ -129,14 +131,15 @@
         )
 
     def start(self) -> None:
-        """Serve from now on."""
+        """Begins to serve."""
         self.upstreams.start()
-        self.source.start(self._listed)
+        self.source.start(self._on_list_update)
         self.server.start()
 
-    def _listed(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
-        """News of the list, for every engine that may still send."""
-        if update.kind is ListKind.SAVED:  # a source begins: what the last one told stands until it tells
+    def _on_list_update(self, update: ListUpdate, addresses: dict[str, Address]) -> None:
+        """Passes an update of the server list on to every engine that may still send."""
+        if update.kind is ListKind.SAVED:
+            # A new source starts: the previous list stays valid until the new source reports.
             update = ListUpdate(ListKind.SAVED, (*self._members.values(), *update.members))
             addresses = self._addresses | addresses
         if update.kind is not ListKind.FAILED:
@@ -146,46 +149,47 @@
                 self._members[member.server] = member
             self._members = {k: m for k, m in self._members.items() if m.readiness is not Readiness.GONE}
             self._addresses = addresses
-        self._older = [engine for engine in self._older if not engine.is_idle()]
-        for engine in (self.engine, *self._older):
+        self._replaced_engines = [engine for engine in self._replaced_engines if not engine.is_idle()]
+        for engine in (self.engine, *self._replaced_engines):
             engine.list_updated(update, addresses)
 
     def prepare(
         self, application: Application, file: File, environment: Mapping[str, str]
     ) -> Callable[[], None]:
-        """Build what a changed application needs; the result takes it over, and can't fail."""
-        engine = self._engine(application)
-        callers = PlainCallers(application, file, f"{self._draw(32):08x}", environment)
+        """Builds what a changed application needs; the returned function puts it into use and can't fail."""
+        engine = self._create_engine(application)
+        callers = RequestClassifier(application, file, f"{self._draw(32):08x}", environment)
         source = None
         if application.upstreams != self.application.upstreams:
-            source = sources.make(application.upstreams, self._host)
+            source = sources.make_source(application.upstreams, self._host)
 
-        def take_over() -> None:
+        def put_into_use() -> None:
             self.application = application
-            if source is not None:  # before the new engine, which asks its source at once
+            if source is not None:
+                # Before the new engine is used, because an engine subscribes to its source at once.
                 self.source.stop()
                 self.source = source
             if self._members:
                 members = tuple(self._members.values())
                 engine.list_updated(ListUpdate(ListKind.SAVED, members), self._addresses)
-            self._older = [e for e in (*self._older, self.engine) if not e.is_idle()]
+            self._replaced_engines = [e for e in (*self._replaced_engines, self.engine) if not e.is_idle()]
             self.engine = self.server.engine = engine
             self.server.check = callers
             if source is not None:
-                source.start(self._listed)  # its first list takes the place of the last one
+                source.start(self._on_list_update)  # its first list replaces the previous one
 
-        return take_over
+        return put_into_use
 
     async def stop(self, file: File) -> None:
-        """Answer what was taken, then close everything."""
+        """Answers the accepted requests, then closes everything."""
         longest = max(c.deadline_ms for c in self.application.classes) / 1000
-        await self.server.drain(file.drain.serve_s + longest + END_S, longest + END_S)
+        await self.server.drain(file.drain.serve_s + longest + SHUTDOWN_MARGIN_S, longest + SHUTDOWN_MARGIN_S)
         self.source.stop()
         self.upstreams.stop()
 
 
 class Sidecar:
-    """All applications of a file, in one process. `draw` gives random bits, which a rehearsal gives by a seed."""
+    """All applications of a file in one process. `draw` returns random bits; a rehearsal derives them from its seed."""
 
     def __init__(
         self,
@@ -197,65 +201,68 @@
     ) -> None:
         self.file, self._environment, self._host, self._module = file, environment, host, module
         self._draw = draw
-        self.part: Callable[[File], File] = lambda file: file
-        self.carried: dict[str, Carried] = {}
-        self._leaving: set[asyncio.Task[None]] = set()
+        self.process_share: Callable[[File], File] = lambda file: file
+        self.served: dict[str, ServedApplication] = {}
+        self._stopping: set[asyncio.Task[None]] = set()
         try:
             for application in file.applications:
-                self.carried[application.name] = Carried(application, file, environment, host, module, draw)
+                self.served[application.name] = ServedApplication(
+                    application, file, environment, host, module, draw
+                )
         except Exception:
-            for carried in self.carried.values():
-                carried.server.close()
+            for served_application in self.served.values():
+                served_application.server.close()
             raise
 
     def start(self) -> None:
-        """Serve from now on."""
-        for carried in self.carried.values():
-            carried.start()
+        """Begins to serve."""
+        for served_application in self.served.values():
+            served_application.start()
 
     def reload(self, file: File) -> list[Change]:
-        """Take over another file, all of it that can be taken at once or nothing; the result is what changes.
+        """Applies everything in another file that doesn't need a restart, or nothing; returns the differences.
 
-        Raises OSError or ValueError, and has changed nothing, if a listener or a header can't be had.
+        Raises OSError if a listener can't be opened, or ValueError if a header can't be resolved; nothing has
+        changed then.
         """
         changes = difference(self.file, file)
-        # Pools and listeners are as large as they were made: limits wait for a restart, whatever else changes.
+        # Pools and listeners keep the size that they were created with, so new limits need a restart.
         file = msgspec.structs.replace(file, limits=self.file.limits)
         wanted = {a.name: a for a in file.applications}
-        added: dict[str, Carried] = {}
-        swaps: list[Callable[[], None]] = []
+        added: dict[str, ServedApplication] = {}
+        replacements: list[Callable[[], None]] = []
         try:
             for name, application in wanted.items():
-                known = self.carried.get(name)
+                known = self.served.get(name)
                 if known is None:
-                    added[name] = Carried(
+                    added[name] = ServedApplication(
                         application, file, self._environment, self._host, self._module, self._draw
                     )
                 elif application != known.application or file.health != self.file.health:
-                    swaps.append(known.prepare(application, file, self._environment))
+                    replacements.append(known.prepare(application, file, self._environment))
         except Exception:
-            for carried in added.values():
-                carried.server.close()
+            for served_application in added.values():
+                served_application.server.close()
             raise
-        for swap in swaps:
-            swap()
-        for name in [n for n in self.carried if n not in wanted]:
-            task = asyncio.get_running_loop().create_task(self.carried.pop(name).stop(self.file))
-            self._leaving.add(task)
-            task.add_done_callback(self._leaving.discard)
-        for name, carried in added.items():
-            self.carried[name] = carried
-            carried.start()
+        for replace_application in replacements:
+            replace_application()
+        for name in [n for n in self.served if n not in wanted]:
+            task = asyncio.get_running_loop().create_task(self.served.pop(name).stop(self.file))
+            self._stopping.add(task)
+            task.add_done_callback(self._stopping.discard)
+        for name, served_application in added.items():
+            self.served[name] = served_application
+            served_application.start()
         self.file = file
         return changes
 
     async def stop(self) -> None:
-        """Answer what was taken, then close everything."""
-        await asyncio.gather(*(c.stop(self.file) for c in self.carried.values()), *self._leaving)
+        """Answers the accepted requests, then closes everything."""
+        await asyncio.gather(*(c.stop(self.file) for c in self.served.values()), *self._stopping)
 
 
-class Beside:
-    """A sidecar beside the platform's balancer, in the same process: `python -m passpost --operator FILE`."""
+class EmbeddedSidecar:
+    """A sidecar in the same process as the platform's balancer: `python -m passpost --operator FILE`."""
 
     def __init__(self, path: str) -> None:
         self._path, self._sidecar = path, start(path)
@@ -267,43 +274,39 @@
         await self._sidecar.stop()
 
 
-def raise_descriptors(wanted: int) -> None:
-    """Let the process have so many descriptors; OSError if the machine does not."""
+def raise_descriptor_limit(wanted: int) -> None:
+    """Raises the process's soft limit of file descriptors to `wanted`; OSError if the hard limit is lower."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if wanted > soft:
         if hard != resource.RLIM_INFINITY and wanted > hard:
             raise OSError(
-                f"limits.descriptors: {wanted} wanted, and this process may have {hard} at the most"
+                f"limits.descriptors: {wanted} requested, but the hard limit of this process is {hard}"
             )
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
-def start(path: str, host: Host = HOST, part: Callable[[File], File] = lambda file: file) -> Sidecar:
-    """A sidecar by the file at `path`, serving; raises UnreadableError, UnusableError, ValueError or OSError.
+def start(path: str, host: Host = HOST, process_share: Callable[[File], File] = lambda file: file) -> Sidecar:
+    """Starts a sidecar for the file at `path`; raises UnreadableError, InvalidFileError, ValueError or OSError.
 
-    `part` gives what this process has of a file, now and when it is read again.
+    `process_share` derives from a file what this process serves of it, now and after each reload.
     """
-    file = part(read(path))
-    raise_descriptors(file.limits.descriptors)
+    file = process_share(load_valid_file(path))
+    raise_descriptor_limit(file.limits.descriptors)
     sidecar = Sidecar(file, os.environ, host)
-    sidecar.part = part
+    sidecar.process_share = process_share
     sidecar.start()
     for application in file.applications:
         log.info("%s serves %s on %s", file.name, application.name, application.listen)
     return sidecar
 
 
-REFUSALS = (
-    UnusableError,
-    UnreadableError,
-    OSError,
-    ValueError,
-)  # why a file read again may not be taken over
+# Errors after which a reload keeps the old configuration.
+RELOAD_ERRORS = (InvalidFileError, UnreadableError, OSError, ValueError)
 
 
-def stays(path: str, error: Exception) -> None:
-    """Say why a file that was read again is not taken over."""
-    if isinstance(error, UnusableError):
+def log_rejected_reload(path: str, error: Exception) -> None:
+    """Logs why a file that was read again is not applied."""
+    if isinstance(error, InvalidFileError):
         for problem in error.problems:
             log.error("%s:%d: %s: %s", path, problem.line, problem.key, problem.text)
         log.error("the old configuration stays")
@@ -312,11 +315,11 @@
 
 
 def reload(sidecar: Sidecar, path: str) -> None:
-    """Read the file again and take over what can be; a file that can't be used changes nothing."""
+    """Reads the file again and applies what doesn't need a restart; a file that can't be used changes nothing."""
     try:
-        changes = sidecar.reload(sidecar.part(read(path)))
-    except REFUSALS as error:
-        stays(path, error)
+        changes = sidecar.reload(sidecar.process_share(load_valid_file(path)))
+    except RELOAD_ERRORS as error:
+        log_rejected_reload(path, error)
     else:
         for change in changes:
             log.info("%s: %s%s", change.key, change.text, " (waits for a restart)" if change.restart else "")
--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from passpost.host import HOST, Address, Host
-from passpost.operator.checks import connections, findings
+from passpost.operator.checks import connection_limits, findings
 from passpost.operator.model import Application, Discovered, File
 from passpost.operator.reader import UnreadableError, load
 from passpost.operator.routes import Routes
-from passpost.operator.settings import AIM_PART
+from passpost.operator.settings import DEFAULT_AIM_SHARE
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal.model import Class, Contract, Script
 from passpost.rehearsal.speech import PlainRequestFormat, example_request
@@ -87,7 +87,7 @@
         classes.append(
             msgspec.structs.replace(
                 cls,
-                aim_ms=file_class.aim_ms or AIM_PART * file_class.deadline_ms,
+                aim_ms=file_class.aim_ms or DEFAULT_AIM_SHARE * file_class.deadline_ms,
                 deadline_ms=file_class.deadline_ms,
                 effect=file_class.effect,
                 window_ms=file_class.window_ms,
@@ -128,7 +128,7 @@
 def sidecar_file(file: File, scenario: Script, listen: Address, discovery: Address) -> File:
     """Return the file of one sidecar in a run: one application, the sidecar's address and the simulated registry."""
     application = application_of(scenario, file)
-    caller_connections, upstreams = connections(file)
+    caller_connections, upstreams = connection_limits(file)
     application_count = len(file.applications)
     limits = msgspec.structs.replace(
         file.limits,
--- a/passpost/workers/supervisor.py
+++ b/passpost/workers/supervisor.py
@@ -19,11 +19,17 @@
 
 from passpost.callers.listener import BACKLOG
 from passpost.host import HOST, Address, Host, Listener
-from passpost.operator.checks import connections, split
+from passpost.operator.checks import connection_limits, split_host_port
 from passpost.operator.diff import difference
-from passpost.operator.membership import written
+from passpost.operator.membership import format_address
 from passpost.operator.model import File
-from passpost.operator.sidecar import END_S, REFUSALS, raise_descriptors, read, stays
+from passpost.operator.sidecar import (
+    RELOAD_ERRORS,
+    SHUTDOWN_MARGIN_S,
+    load_valid_file,
+    log_rejected_reload,
+    raise_descriptor_limit,
+)
 from passpost.signals import Signals
 from passpost.workers.plan import Action, Exit, Plan, SendSignal, Start
 
@@ -42,7 +48,7 @@
 
     Raises ValueError if a limit is too small to be divided.
     """
-    callers, upstreams = connections(file)
+    callers, upstreams = connection_limits(file)
     limits, share = file.limits, max(len(file.applications), 1)
     if limits.descriptors // count < MIN_DESCRIPTORS_PER_WORKER or min(callers, upstreams) // count < share:
         raise ValueError(f"limits.descriptors: {limits.descriptors} are too few for {count} workers")
@@ -60,7 +66,7 @@
 def shutdown_times(file: File) -> tuple[float, float]:
     """The time until the kill, and the upper bound for the drain of one worker, in seconds."""
     longest = max(c.deadline_ms for a in file.applications for c in a.classes) / 1000
-    return file.drain.kill_after_s, file.drain.serve_s + longest + END_S
+    return file.drain.kill_after_s, file.drain.serve_s + longest + SHUTDOWN_MARGIN_S
 
 
 class PassedHost(Host):
@@ -74,7 +80,7 @@
 
     def listen(self, address: Address, backlog: int) -> Listener:
         """The supervisor's socket for this address; raises OSError if none was passed."""
-        name = written(address)
+        name = format_address(address)
         if name not in self._descriptors:
             raise OSError(f"no listening socket for {name} was passed")
         return socket.socket(fileno=os.dup(self._descriptors[name]))
@@ -115,11 +121,11 @@
     """Runs the plan with real processes."""
 
     def __init__(self, path: str, count: int) -> None:
-        """Raises UnreadableError, UnusableError, ValueError or OSError, as a start without workers does."""
+        """Raises UnreadableError, InvalidFileError, ValueError or OSError, as a start without workers does."""
         self._path, self._count = path, count
-        self._file = read(path)
+        self._file = load_valid_file(path)
         worker_share(self._file, count)
-        raise_descriptors(self._file.limits.descriptors)
+        raise_descriptor_limit(self._file.limits.descriptors)
         self._sockets: dict[str, Listener] = {}
         self._open_listeners(self._file)
         self._plan = Plan(count, *shutdown_times(self._file))
@@ -133,9 +139,9 @@
         opened: dict[str, Listener] = {}
         try:
             for application in file.applications:
-                address = split(application.listen)
+                address = split_host_port(application.listen)
                 assert address is not None  # the file has been checked
-                name = written(address)
+                name = format_address(address)
                 if name not in self._sockets:
                     opened[name] = HOST.listen(address, BACKLOG)
         except OSError:
@@ -157,12 +163,12 @@
     def reload(self) -> None:
         """Read the file again: workers apply the changes or are renewed in turn; a bad file changes nothing."""
         try:
-            file = read(self._path)
+            file = load_valid_file(self._path)
             worker_share(file, self._count)
             changes = difference(self._file, file)
             self._open_listeners(file)
-        except REFUSALS as error:
-            stays(self._path, error)
+        except RELOAD_ERRORS as error:
+            log_rejected_reload(self._path, error)
             return
         addresses = {a.listen for a in file.applications}
         needs_renewal = addresses != {a.listen for a in self._file.applications} or any(
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
 from passpost.rehearsal.virtual import play
-from tests.operator.files import GOOD, broken
+from tests.operator.files import GOOD, good_file_with
 from tests.rehearsal import nights
 
 EXAMPLES = sorted((Path(__file__).parent.parent.parent / "examples").glob("*/rehearsal.toml"))
@@ -133,7 +133,7 @@
 
 def test_a_live_run_starts_the_command_itself(tmp_path: Path) -> None:
     (tmp_path / "f.toml").write_text(
-        broken(
+        good_file_with(
             ("deadline_ms = 3000\naim_ms = 1200\nattempt_ms = 1000", "deadline_ms = 40000"),
             ("descriptors = 1024", "descriptors = 256"),
             ("kill_after_s = 30", "kill_after_s = 60"),
@@ -198,7 +198,7 @@
 def test_the_error_for_a_file_that_cannot_be_simulated_names_the_reason(
     tmp_path: Path, edits: Any, reason: str
 ) -> None:
-    (tmp_path / "f.toml").write_text(broken(*edits))
+    (tmp_path / "f.toml").write_text(good_file_with(*edits))
     with pytest.raises(MismatchError, match=reason):
         carried.merge_operator_file(
             sidecar_scenario(parsed_file()), carried.read_operator_file(str(tmp_path / "f.toml"))
@@ -273,7 +273,7 @@
     except UnreadableError:
         return "unreadable"
     file = reading.file
-    if file is None or any(not p.warning for p in reading.with_meaning(check(file))):
+    if file is None or any(not p.warning for p in reading.all_problems(check(file))):
         return "refused"
     scenario = sidecar_scenario(file, *FAULTS)
     try:
--- a/tests/test_late_signals.py
+++ b/tests/test_late_signals.py
@@ -18,7 +18,7 @@
 import pytest
 
 from passpost.workers.plan import Exit, Plan, SendSignal
-from tests.cli.test_operator import free_port, running
+from tests.cli.test_operator import free_port, run_process
 from tests.loopback import TIMEOUT_S, config_data, member
 from tests.workers.test_run import CONFIG_TEXT
 
@@ -53,7 +53,7 @@
 def test_platform_balancer_exits_with_0(tmp_path: Path, numbers: list[signal.Signals]) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
+    with run_process(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
         assert exit_status(process, "serves on", numbers) == 0
 
 
@@ -64,7 +64,7 @@
 ) -> None:
     path = tmp_path / "passpost.toml"
     path.write_text(CONFIG_TEXT.format(port=free_port(), server=9))
-    with running(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
+    with run_process(path, "-m", "passpost.cli", "run", str(path), *arguments) as process:
         assert exit_status(process, "serves", numbers) == 0
 
 
@@ -72,7 +72,7 @@
     # The parent of workers read its file again for each of 2,000 signals a second, and had not exited after 20 minutes.
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config_data([member("s0", "127.0.0.1:9")])))
-    with running(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
+    with run_process(path, "-m", "passpost", EDGE_CONFIG=str(path)) as process:
         assert process.stderr is not None
         while "serves on" not in process.stderr.readline():
             assert process.poll() is None
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -166,7 +166,7 @@
     assert command.run(["logs", str(tmp_path), "--follow", "b"]) == 0
     assert "n1: b read at 6200 ms: refused after 10 ms\n  s1: unreached after 1 ms" in capsys.readouterr().out
     assert command.run(["logs", str(tmp_path), "--follow", "zz"]) == 1
-    assert capsys.readouterr().out == "no balancer has written of zz\n"
+    assert capsys.readouterr().out == "no balancer has traced zz\n"
 
 
 LEAVING_SERVER_RECORDS: list[RequestRecord | ListCallRecord] = [
@@ -219,7 +219,7 @@
     out = capsys.readouterr().out.splitlines()
     assert out[1] == "6000 ms n1: d:1 after 4, wait 10000 ms: answered after 1000 ms; s0 is leaving"
     assert out[3].endswith(
-        "a chosen; went out after 2 ms, served after 9 ms [1510 ms after it was first heard]"
+        "a chosen; went out after 2 ms, served after 9 ms [1510 ms after the first notice]"
     )
     assert command.run(["logs", str(tmp_path), "--server", "zz"]) == 1
     assert command.run(["logs", str(tmp_path), "--server", "s0", "--json"]) == 0
--- a/tests/workers/test_last_worker.py
+++ b/tests/workers/test_last_worker.py
@@ -17,8 +17,8 @@
 
 import pytest
 
-from tests.cli.test_clients import serving
-from tests.cli.test_operator import PATIENCE, free_port, running, until_ready
+from tests.cli.test_clients import run_server
+from tests.cli.test_operator import TIMEOUT_S, free_port, run_process, wait_until_ready
 from tests.workers.test_run import CONFIG_TEXT
 
 REQUEST = b"GET /views/1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
@@ -27,11 +27,11 @@
 
 def count_unanswered(port: int, process: subprocess.Popen[str]) -> int:
     """The number of connections that came up and got no complete answer, until the process has ended."""
-    ends, count = time.monotonic() + PATIENCE, 0
+    ends, count = time.monotonic() + TIMEOUT_S, 0
     while process.poll() is None:
         assert time.monotonic() < ends, "it does not end"
         try:
-            client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+            client = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         except OSError:
             continue  # refused, so no request was accepted
         with client:
@@ -46,11 +46,11 @@
 
 @pytest.mark.parametrize("workers", ["1", "2", "3"])
 def test_connection_during_end_of_last_worker_is_answered_or_refused(tmp_path: Path, workers: str) -> None:
-    with serving() as server:
+    with run_server() as server:
         path, port = tmp_path / "passpost.toml", free_port()
         path.write_text(CONFIG_TEXT.format(port=port, server=server).replace("8000", "300"))
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
-            until_ready(port, process)
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", workers) as process:
+            wait_until_ready(port, process)
             process.send_signal(signal.SIGTERM)
             lost = count_unanswered(port, process)
             assert process.wait() == 0
--- a/tests/workers/test_run.py
+++ b/tests/workers/test_run.py
@@ -17,8 +17,8 @@
 from passpost.operator.model import File
 from passpost.operator.reader import parse
 from passpost.workers.supervisor import worker_share
-from tests.cli.test_clients import serving
-from tests.cli.test_operator import PATIENCE, free_port, get, running, until_ready
+from tests.cli.test_clients import run_server
+from tests.cli.test_operator import TIMEOUT_S, free_port, get, run_process, wait_until_ready
 from tests.operator.files import GOOD
 
 CONFIG_TEXT = """\
@@ -51,7 +51,7 @@
             self.text += line
 
     def until(self, condition: Callable[[str], bool]) -> None:
-        for _ in range(int(PATIENCE / 0.02)):
+        for _ in range(int(TIMEOUT_S / 0.02)):
             if condition(self.text):
                 return
             time.sleep(0.02)
@@ -64,13 +64,13 @@
 
 @contextmanager
 def two_workers(tmp_path: Path) -> Iterator[tuple[subprocess.Popen[str], SupervisorLog, Path, int]]:
-    with serving() as server:
+    with run_server() as server:
         path, port = tmp_path / "f.toml", free_port()
         path.write_text(CONFIG_TEXT.format(port=port, server=server))
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as process:
             log = SupervisorLog(process)
             log.until(lambda _: bool(log.serves(1) and log.serves(2)))
-            until_ready(port, process)
+            wait_until_ready(port, process)
             yield process, log, path, port
 
 
@@ -86,7 +86,7 @@
         log.until(lambda _: len(log.serves(1)) == 2)
         assert "worker 1 ended with status -9" in log.text and len(log.serves(2)) == 1
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_changed_classes_are_reloaded_and_changed_limits_renew_workers(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
         assert {get(port, "/stills/1")[0] for _ in range(20)} == {200} and ask(port) == 404
         path.write_text(before.replace("descriptors = 512", "descriptors = 600"))
         process.send_signal(signal.SIGHUP)
-        answers, give_up_at = [], time.monotonic() + PATIENCE
+        answers, give_up_at = [], time.monotonic() + TIMEOUT_S
         while len(log.serves(1)) < 2 or len(log.serves(2)) < 2:
             answers.append(get(port, "/health/ready")[0])
             assert process.poll() is None and time.monotonic() < give_up_at
@@ -106,7 +106,7 @@
         assert set(answers) <= {200, 503}  # a draining worker answers 503; no connection is cut
         assert {ask(port) for _ in range(20)} == {200}
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_invalid_file_changes_nothing(tmp_path: Path) -> None:
@@ -116,15 +116,15 @@
         log.until(lambda text: "the old configuration stays: limits.descriptors: 90 are too few" in text)
         assert ask(port) == 200 and len(log.serves(1)) == 1
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
 
 
 def test_workers_end_when_the_supervisor_is_killed(tmp_path: Path) -> None:
     with two_workers(tmp_path) as (process, log, _, _port):
         workers = [log.serves(1)[0], log.serves(2)[0]]
         process.kill()
-        process.wait(PATIENCE)
-        for _ in range(int(PATIENCE / 0.02)):
+        process.wait(TIMEOUT_S)
+        for _ in range(int(TIMEOUT_S / 0.02)):
             if not any(Path(f"/proc/{w}").exists() for w in workers):
                 return
             time.sleep(0.02)
@@ -133,8 +133,8 @@
 
 def test_port_in_use_is_reported_in_one_line(tmp_path: Path) -> None:
     with two_workers(tmp_path) as (_process, _log, path, _port):
-        with running(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
-            _, text = second.communicate(timeout=PATIENCE)
+        with run_process(path, "-m", "passpost.cli", "run", str(path), "--workers", "2") as second:
+            _, text = second.communicate(timeout=TIMEOUT_S)
         assert second.returncode == 1 and "Address already in use" in text and "Traceback" not in text
 
 
