--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scenario:
+class RestartScenario:
     """What one seed plays: a script, and the processes of a sidecar."""
 
     script: Script
@@ -57,7 +57,7 @@
     timeline: tuple[str, ...]
 
 
-def draw(seed: int, sidecar: Script) -> Scenario:
+def draw(seed: int, sidecar: Script) -> RestartScenario:
     """The scenario of a seed; `sidecar` is the base of those that a sidecar plays."""
     chance = random.Random(f"restarts {seed}")
     if seed % SIDECAR_EVERY:
@@ -93,7 +93,7 @@
         ),
     )
     several = not seed % (SIDECAR_EVERY * WORKERS_EVERY)
-    return Scenario(script, WORKERS if several and script.sidecar is not None else 1)
+    return RestartScenario(script, WORKERS if several and script.sidecar is not None else 1)
 
 
 def _with_unsized(tier: Tier, share: float) -> Tier:
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from passpost.rehearsal import live, model
-from passpost.rehearsal.restarts import READY_S, SIGNALS, Scenario, draw, violations
+from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartScenario, draw, violations
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
 from passpost.rehearsal.world import Night
@@ -20,7 +20,7 @@
 SOAK = {"platform, asked": 2, "platform, pushed": 7, "sidecar": 4, "workers": 12}
 
 
-def drawn(seed: int) -> Scenario:
+def drawn(seed: int) -> RestartScenario:
     return draw(seed, SIDECAR)
 
 
