--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -20,17 +20,17 @@
 import msgspec
 
 from passpost.rehearsal import live, virtual
-from passpost.rehearsal.model import Class, Clients, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, Kind, Scenario, Tier
 from passpost.rehearsal.script import load
 from passpost.rehearsal.summary import summarize
 
 ROOT = Path(__file__).parent.parent
 
 
-def fleet(balancers: int, nodes: int, rate: float, seconds: float) -> Script:
+def fleet(balancers: int, nodes: int, rate: float, seconds: float) -> Scenario:
     """One tier of nodes at about half of what they can do."""
     work = nodes * 2 * 1000 / rate / 2  # ms a request
-    return Script(
+    return Scenario(
         version=1,
         title=f"{balancers} balancers x {nodes} nodes, {rate:g} requests a second",
         length_s=seconds,
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -24,20 +24,20 @@
     Event,
     Kind,
     Reload,
-    Script,
+    Scenario,
     Tier,
 )
 from passpost.rehearsal.virtual import play
 
 
-def night(balancers: int, calls_per_s: float) -> Script:
+def night(balancers: int, calls_per_s: float) -> Scenario:
     """The script."""
     kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
     events: list[Event] = [Reload(at_s=3 + 2 * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)]
     for i in range(6):
         leaving = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
         events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=leaving, back_s=0.5))
-    return Script(
+    return Scenario(
         version=1,
         title="A roll with a move",
         length_s=16.0,
@@ -50,7 +50,7 @@
     )
 
 
-def late(script: Script, seed: int, patience: float | None) -> int:
+def late(script: Scenario, seed: int, patience: float | None) -> int:
     """Sends after the grace, with calls given up after so many seconds, or with the program as it is."""
     before = discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S
     if patience is not None:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -32,7 +32,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.script import load
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Night
@@ -64,7 +64,7 @@
         return f"{self.stall} {self.seconds:g} s, load {self.load:g}, {self.clients}, crowd {self.crowd:g}"
 
 
-def capacity(script: Script, crowd: float) -> float:
+def capacity(script: Scenario, crowd: float) -> float:
     """Requests a second that the nodes carry: by their cores, and by how many jobs choke none of them.
 
     By jobs: a request is inside an outer node while it works there and while its inner calls work; each takes what
@@ -84,7 +84,7 @@
     return min(by_cores, limits[0] / inside) if crowd else by_cores
 
 
-def night(case: Case) -> Script:
+def night(case: Case) -> Scenario:
     """The night of a combination; without seconds one without a stall."""
     base = load(str(BASE))
     rate = case.load * capacity(base, case.crowd)
--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -20,7 +20,7 @@
 from passpost.operator.routes import Routes
 from passpost.operator.settings import AIM_PART
 from passpost.operator.sidecar import Sidecar
-from passpost.rehearsal.model import Class, Contract, Script
+from passpost.rehearsal.model import Class, Contract, Scenario
 from passpost.rehearsal.speech import PlainSpeech, sample
 from umberworks.rules import Balancer
 
@@ -55,7 +55,7 @@
     return reading.file
 
 
-def application_of(script: Script, file: File) -> Application:
+def application_of(script: Scenario, file: File) -> Application:
     """The application that is played; raises MismatchError if there is none of that name."""
     assert script.sidecar is not None
     for application in file.applications:
@@ -65,7 +65,7 @@
     raise MismatchError("sidecar.application", f"{script.sidecar.application!r} is none of {names}")
 
 
-def merged(script: Script, file: File) -> Script:
+def merged(script: Scenario, file: File) -> Scenario:
     """The script with all that the file says; raises MismatchError where they contradict each other."""
     application = application_of(script, file)
     known = {c.name: c for c in application.classes}
@@ -123,7 +123,7 @@
             raise MismatchError(f"{key}.{name}", "the operator's file says this; leave it out")
 
 
-def placed(file: File, script: Script, listen: Address, discovery: Address) -> File:
+def placed(file: File, script: Scenario, listen: Address, discovery: Address) -> File:
     """The file as one sidecar of the night runs it: one application, its own address, the night's list."""
     application = application_of(script, file)
     callers, upstreams = connections(file)
@@ -148,7 +148,7 @@
     return {v.removeprefix("env:"): SECRET for v in values if v.startswith("env:")}
 
 
-def speech(script: Script, file: File) -> PlainSpeech:
+def speech(script: Scenario, file: File) -> PlainSpeech:
     """How the night's clients and first tier speak."""
     return PlainSpeech(application_of(script, file), file.health.path)
 
--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -9,7 +9,7 @@
 
 from passpost.host import Address
 from passpost.rehearsal.http import GRACE_S, Pool, Result
-from passpost.rehearsal.model import Class, Script, Tenant
+from passpost.rehearsal.model import Class, Scenario, Tenant
 from passpost.rehearsal.nodes import tell
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Stage
@@ -103,7 +103,7 @@
         self,
         stage: Stage,
         watch: Watch,
-        script: Script,
+        script: Scenario,
         seed: int,
         excuse: Callable[[str, float], str],
         speech: Speech,
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Event, Script
+from passpost.rehearsal.model import Event, Scenario
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Night
 from umberworks.rules import Balancer
@@ -26,11 +26,11 @@
 
     seed: int
     what: str
-    script: Script
+    script: Scenario
     drawn: int  # failures before it was shrunk
 
 
-def draw(base: Script, seed: int, most: int) -> Script:
+def draw(base: Scenario, seed: int, most: int) -> Scenario:
     """The base's night with up to `most` failures more, some at the same time."""
     chance = random.Random(f"explore {seed}")
     events = list(base.events)
@@ -40,7 +40,7 @@
     return msgspec.structs.replace(base, seed=seed, events=tuple(events))
 
 
-def _draw_event(base: Script, chance: random.Random) -> Event:
+def _draw_event(base: Scenario, chance: random.Random) -> Event:
     end = base.length_s
     at = round(chance.uniform(0, end * 0.8), 2)
     span = round(chance.uniform(0.5, max(end / 2, 1.0)), 2)
@@ -87,13 +87,13 @@
     return what.partition(":")[0]
 
 
-def try_seed(base: Script, seed: int, most: int, module: Module = Balancer) -> str:
+def try_seed(base: Scenario, seed: int, most: int, module: Module = Balancer) -> str:
     """Play one drawn night; the verdict."""
     return verdict(play(draw(base, seed, most), seed, module=module))
 
 
 def explore(
-    base: Script,
+    base: Scenario,
     seeds: Iterable[int],
     jobs: int,
     most: int,
@@ -135,11 +135,11 @@
     return shrink(draw(base, seed, most), bad[seed], module), played
 
 
-def shrink(script: Script, what: str, module: Module = Balancer) -> Found:
+def shrink(script: Scenario, what: str, module: Module = Balancer) -> Found:
     """Leave out failures, then shorten the night, as long as the same rule breaks."""
     seed, drawn = script.seed, len(script.events)
 
-    def still(candidate: Script) -> str:
+    def still(candidate: Scenario) -> str:
         found = verdict(play(candidate, seed, module=module))
         return found if _kind(found) == _kind(what) else ""
 
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -29,7 +29,7 @@
 from passpost.operator.model import File
 from passpost.operator.writer import render
 from passpost.rehearsal import carried, model
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.stage import Config, Ending, Running, Stage
 from passpost.rehearsal.world import Night, World
 
@@ -45,7 +45,7 @@
     """A script that needs what a live night has not."""
 
 
-def check(script: Script) -> None:
+def check(script: Scenario) -> None:
     """Raises UnplayableError with the event that can't be played live."""
     nodes = set(script.node_names())
     if len(script.balancer_names()) > MOST_BALANCERS:
@@ -66,7 +66,7 @@
             raise UnplayableError(f"events[{i}].nodes: live, only nodes and balancers can be paused")
 
 
-def _matching(patterns: tuple[str, ...], script: Script) -> set[str]:
+def _matching(patterns: tuple[str, ...], script: Scenario) -> set[str]:
     names = [*script.node_names(), *script.balancer_names(), "clients", "discovery"]
     return {n for n in names if any(fnmatchcase(n, p) for p in patterns)}
 
@@ -210,7 +210,7 @@
 
 
 def play(
-    script: Script,
+    script: Scenario,
     seed: int,
     sink: Callable[[str], None] | None = None,
     progress: Callable[[float], None] = lambda share: None,
--- a/passpost/rehearsal/model.py
+++ b/passpost/rehearsal/model.py
@@ -263,7 +263,7 @@
 Event = NodeFault | ListDown | SharedSlow | Partition | Stop | Reload | Kill | Clock | Rush
 
 
-class Script(_Part, frozen=True, kw_only=True):
+class Scenario(_Part, frozen=True, kw_only=True):
     """A whole night."""
 
     version: Literal[1]
--- a/passpost/rehearsal/platform_file.py
+++ b/passpost/rehearsal/platform_file.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 from passpost.host import Address
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 
 EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 MEMORY_MB = 192
 
 
 def configuration(
-    script: Script,
+    script: Scenario,
     tier: int,
     name: str,
     listen: Address,
@@ -32,7 +32,7 @@
     }
 
 
-def settings(script: Script, tier: int) -> dict[str, Any]:
+def settings(script: Scenario, tier: int) -> dict[str, Any]:
     """What balancers before a tier are told of the platform."""
     contract, discovery = script.contract, script.discovery
     before = script.tiers[tier - 1] if tier else None
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Scenario, Tier
 from passpost.rehearsal.world import Night
 
 LENGTH_S = 6.0
@@ -39,7 +39,7 @@
 class RestartScenario:
     """What one seed plays: a script, and the processes of a sidecar."""
 
-    script: Script
+    script: Scenario
     workers: int = 1
 
     def host(self) -> str:
@@ -57,11 +57,11 @@
     timeline: tuple[str, ...]
 
 
-def draw(seed: int, sidecar: Script) -> RestartScenario:
+def draw(seed: int, sidecar: Scenario) -> RestartScenario:
     """The scenario of a seed; `sidecar` is the base of those that a sidecar plays."""
     chance = random.Random(f"restarts {seed}")
     if seed % SIDECAR_EVERY:
-        base = Script(
+        base = Scenario(
             version=1,
             title="Restarts",
             classes=CLASSES,
--- a/passpost/rehearsal/script.py
+++ b/passpost/rehearsal/script.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from passpost.rehearsal import carried, model
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 
 MAX_BYTES = 1_000_000  # no night needs more; a larger file is some other file
 
@@ -21,7 +21,7 @@
     """A script can't be used; the text is one line that names file, key and reason."""
 
 
-def load(path: str) -> Script:
+def load(path: str) -> Scenario:
     """The script in a file; raises ScriptError."""
     try:
         with open(path, "rb") as file:
@@ -37,7 +37,7 @@
     return parse(text, path)
 
 
-def parse(text: str, path: str) -> Script:
+def parse(text: str, path: str) -> Scenario:
     """The script in a text; raises ScriptError. `path` is only named in errors."""
     try:
         data = tomllib.loads(text)
@@ -46,7 +46,7 @@
     except RecursionError:
         raise ScriptError(f"{path}: nested too deeply") from None
     try:
-        script = msgspec.convert(data, Script)
+        script = msgspec.convert(data, Scenario)
     except msgspec.ValidationError as error:
         raise ScriptError(f"{path}: {_explain(str(error))}") from None
     for key, reason in _contradictions(script):
@@ -103,7 +103,7 @@
     return words
 
 
-def _contradictions(script: Script) -> list[tuple[str, str]]:
+def _contradictions(script: Scenario) -> list[tuple[str, str]]:
     """What each value allows by itself and all together forbid, each with its key."""
     found: list[tuple[str, str]] = []
     for label, names in (
@@ -162,7 +162,7 @@
 # ---- writing ------------------------------------------------------------------------------------
 
 
-def dump(script: Script) -> str:
+def dump(script: Scenario) -> str:
     """The script as TOML: what differs from the defaults, always in the same bytes."""
     data = _differing(script)
     lines = [f"{k} = {_value(v)}" for k, v in data.items() if not _is_table(v)]
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -19,7 +19,7 @@
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal import carried
 from passpost.rehearsal.loop import Process, SimLoop, StuckError
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import Config, Ending, Running, Stage
 from passpost.rehearsal.world import Night, World
@@ -111,7 +111,7 @@
     exact = True
 
     def __init__(
-        self, script: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
+        self, script: Scenario, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
         self.loop = SimLoop(seed)  # type: ignore[abstract]  # what it lacks, no balancer uses
         wires = script.network
@@ -215,7 +215,7 @@
 
 
 def play(
-    script: Script,
+    script: Scenario,
     seed: int,
     sink: Sink | None = None,
     progress: Callable[[float], None] = lambda share: None,
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -16,7 +16,7 @@
 from passpost.operator.model import Discovered, File
 from passpost.rehearsal import carried, model, platform_file
 from passpost.rehearsal.clients import Clients, Job
-from passpost.rehearsal.model import Kind, Script, Tier
+from passpost.rehearsal.model import Kind, Scenario, Tier
 from passpost.rehearsal.nodes import Effects, Node
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
@@ -42,7 +42,7 @@
 class Night:
     """What came of a night."""
 
-    script: Script
+    script: Scenario
     seed: int
     jobs: list[Job] = field(default_factory=list)
     breaks: list[Break] = field(default_factory=list)
@@ -81,7 +81,7 @@
     def __init__(
         self,
         stage: Stage,
-        script: Script,
+        script: Scenario,
         seed: int,
         progress: Callable[[float], None],
         file: File | None = None,
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Scenario, Tier
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Night
 from umberworks import interface
@@ -20,7 +20,7 @@
 INVOICE = Class(name="invoice", work_ms=20, aim_ms=400, deadline_ms=1_500, effect="unsafe")
 
 
-def script(*events: Event, tiers: int = 1, **changes: Any) -> Script:
+def script(*events: Event, tiers: int = 1, **changes: Any) -> Scenario:
     """A small night of five seconds."""
     kinds = (Kind(name="fast", count=1, speed=2.0), Kind(name="plain", count=3))
     last = Tier(name="render", kinds=kinds, balancers=1 if tiers > 1 else 2, part=0.5 if tiers > 1 else 1.0)
@@ -36,10 +36,10 @@
         "tiers": (first, last) if tiers > 1 else (last,),
         "events": events,
     }
-    return msgspec.convert(msgspec.to_builtins(Script(**(base | changes))), Script)
+    return msgspec.convert(msgspec.to_builtins(Scenario(**(base | changes))), Scenario)
 
 
-def decisions(night: Script, seed: int, module: type[Balancer] = Balancer) -> tuple[Night, list[str]]:
+def decisions(night: Scenario, seed: int, module: type[Balancer] = Balancer) -> tuple[Night, list[str]]:
     lines: list[str] = []
     return play(night, seed, lines.append, module=module), lines
 
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -16,7 +16,7 @@
 from passpost.operator.reader import UnreadableError, parse
 from passpost.rehearsal import carried, live, model
 from passpost.rehearsal.carried import MismatchError
-from passpost.rehearsal.model import Class, Clients, Contract, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Kind, Scenario, Tier
 from passpost.rehearsal.script import ScriptError, dump, load
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
@@ -42,7 +42,7 @@
     return file
 
 
-def script(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Script:
+def script(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Scenario:
     """A short night of the file's first application, all its classes alike."""
     application = file.applications[0]
     kinds = (Kind(name="plain", count=4),)
@@ -58,7 +58,7 @@
         "tiers": (first,) if tiers == 1 else (msgspec.structs.replace(first, part=0.5), last),
         "events": events,
     }
-    return Script(**(base | changes))
+    return Scenario(**(base | changes))
 
 
 def test_a_file_s_classes_keys_and_tenants_come_through() -> None:
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -16,7 +16,7 @@
 from passpost.callers.connection import Connection
 from passpost.rehearsal import explore as exploring
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Clients, Contract, Network, Script
+from passpost.rehearsal.model import Clients, Contract, Network, Scenario
 from passpost.rehearsal.report import write
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.summary import by_second, summarize
@@ -245,7 +245,7 @@
 
 
 def test_exploring_gives_the_same_result_with_any_number_of_processes() -> None:
-    base: Script = msgspec.structs.replace(script(), length_s=1.0)
+    base: Scenario = msgspec.structs.replace(script(), length_s=1.0)
     assert (
         exploring.explore(base, range(1, 7), 1, 3) == exploring.explore(base, range(1, 7), 3, 3) == (None, 6)
     )
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -18,7 +18,7 @@
     Network,
     Pause,
     Reload,
-    Script,
+    Scenario,
     Stop,
     Tier,
 )
@@ -36,7 +36,7 @@
     length_s: float = 14.0,
     mode: Literal["ask", "push"] = "ask",
     latency_ms: float = 0.3,
-) -> Script:
+) -> Scenario:
     """All are moved within so many seconds; a twelfth of the nodes leaves every second and a half, some for good."""
     kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
     events: list[Event] = [
@@ -45,7 +45,7 @@
     for i in range(6):
         leaving = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
         events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=leaving, back_s=0.5))
-    return Script(
+    return Scenario(
         version=1,
         title="A roll with a move",
         length_s=length_s,
@@ -102,5 +102,5 @@
 
 
 @pytest.mark.parametrize("night", HARD.values(), ids=HARD.keys())
-def test_drains_are_kept_through(night: Script) -> None:
+def test_drains_are_kept_through(night: Scenario) -> None:
     assert broken(play(night, seed=2)) == []
