--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -11,7 +11,7 @@
 
 from passpost.cli.command import UnusableError
 from passpost.rehearsal.explore import explore
-from passpost.rehearsal.script import ScriptError, dump, load
+from passpost.rehearsal.script import ScenarioError, dump, load
 
 
 @click.command(name="explore")
@@ -38,7 +38,7 @@
     """
     try:
         base = load(script)
-    except ScriptError as error:
+    except ScenarioError as error:
         raise UnusableError(str(error)) from None
     console = Console(stderr=True)
     with Progress(
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -16,7 +16,7 @@
 
 from passpost.cli.command import UnusableError
 from passpost.rehearsal import report
-from passpost.rehearsal.script import ScriptError, load
+from passpost.rehearsal.script import ScenarioError, load
 from passpost.rehearsal.summary import HEADS, Summary, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
@@ -42,7 +42,7 @@
     """
     try:
         night_script = load(script)
-    except ScriptError as error:
+    except ScenarioError as error:
         raise UnusableError(str(error)) from None
     chosen = night_script.seed if seed is None else seed
     with ExitStack() as stack:
--- a/passpost/rehearsal/script.py
+++ b/passpost/rehearsal/script.py
@@ -17,40 +17,40 @@
 MAX_BYTES = 1_000_000  # no night needs more; a larger file is some other file
 
 
-class ScriptError(Exception):
+class ScenarioError(Exception):
     """A script can't be used; the text is one line that names file, key and reason."""
 
 
 def load(path: str) -> Scenario:
-    """The script in a file; raises ScriptError."""
+    """The script in a file; raises ScenarioError."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_BYTES + 1)
     except OSError as error:
-        raise ScriptError(f"{path}: {error.strerror or error}") from None
+        raise ScenarioError(f"{path}: {error.strerror or error}") from None
     if len(data) > MAX_BYTES:
-        raise ScriptError(f"{path}: over {MAX_BYTES:,} bytes; this is no script")
+        raise ScenarioError(f"{path}: over {MAX_BYTES:,} bytes; this is no script")
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
-        raise ScriptError(f"{path}: not UTF-8 at byte {error.start}") from None
+        raise ScenarioError(f"{path}: not UTF-8 at byte {error.start}") from None
     return parse(text, path)
 
 
 def parse(text: str, path: str) -> Scenario:
-    """The script in a text; raises ScriptError. `path` is only named in errors."""
+    """The script in a text; raises ScenarioError. `path` is only named in errors."""
     try:
         data = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ScriptError(f"{path}: no TOML: {error}") from None
+        raise ScenarioError(f"{path}: no TOML: {error}") from None
     except RecursionError:
-        raise ScriptError(f"{path}: nested too deeply") from None
+        raise ScenarioError(f"{path}: nested too deeply") from None
     try:
         script = msgspec.convert(data, Scenario)
     except msgspec.ValidationError as error:
-        raise ScriptError(f"{path}: {_explain(str(error))}") from None
+        raise ScenarioError(f"{path}: {_explain(str(error))}") from None
     for key, reason in _contradictions(script):
-        raise ScriptError(f"{path}: {key}: {reason}")
+        raise ScenarioError(f"{path}: {key}: {reason}")
     if script.sidecar is not None:
         file = os.path.abspath(os.path.join(os.path.dirname(path), script.sidecar.file))
         script = msgspec.structs.replace(
@@ -59,7 +59,7 @@
         try:
             carried.merged(script, carried.read(file))
         except carried.MismatchError as error:
-            raise ScriptError(f"{path}: {error}") from None
+            raise ScenarioError(f"{path}: {error}") from None
     return script
 
 
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -17,7 +17,7 @@
 from passpost.rehearsal import carried, live, model
 from passpost.rehearsal.carried import MismatchError
 from passpost.rehearsal.model import Class, Clients, Contract, Kind, Scenario, Tier
-from passpost.rehearsal.script import ScriptError, dump, load
+from passpost.rehearsal.script import ScenarioError, dump, load
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
 from passpost.rehearsal.virtual import play
@@ -180,7 +180,7 @@
     night.write_text(dump(fits))
     assert load(str(night)).classes == fits.classes
     night.write_text(dump(msgspec.structs.replace(fits, **change)))
-    with pytest.raises(ScriptError, match=reason):
+    with pytest.raises(ScenarioError, match=reason):
         load(str(night))
 
 
--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from passpost.rehearsal.explore import draw
-from passpost.rehearsal.script import ScriptError, dump, load, parse
+from passpost.rehearsal.script import ScenarioError, dump, load, parse
 from tests.rehearsal.nights import script
 
 SHIPPED = sorted((Path(__file__).parent.parent.parent / "rehearsals").rglob("*.toml"))
@@ -18,7 +18,7 @@
 
 
 def reason(text: str) -> str:
-    with pytest.raises(ScriptError) as caught:
+    with pytest.raises(ScenarioError) as caught:
         parse(text, "night.toml")
     found = str(caught.value)
     assert found.startswith("night.toml: ") and "\n" not in found
@@ -117,7 +117,7 @@
     (tmp_path / "bad.toml").write_bytes(b"a \xff")
     (tmp_path / "big.toml").write_bytes(b"#" * 1_000_001)
     for name, wanted in cases.items():
-        with pytest.raises(ScriptError, match=wanted):
+        with pytest.raises(ScenarioError, match=wanted):
             load(str(tmp_path / name))
 
 
@@ -144,7 +144,7 @@
     text = GOOD[:at] + data.draw(st.text(max_size=8)) + GOOD[at + cut :]
     try:
         parse(text, "night.toml")
-    except ScriptError as error:
+    except ScenarioError as error:
         assert "\n" not in str(error)
 
 
