--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.nodes import tell
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Stage
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 POLL_S = 0.2  # the front asks a balancer that starts whether it is ready this often
 LEAVES_S = 0.3  # after SIGTERM the front deals out no more connections from so long on
@@ -102,7 +102,7 @@
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
+        watch: InvariantChecker,
         script: Scenario,
         seed: int,
         excuse: Callable[[str, float], str],
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -14,7 +14,7 @@
 from passpost.rehearsal.model import Class, Contract, Kind, Tier
 from passpost.rehearsal.speech import Asked, Speech
 from passpost.rehearsal.stage import Stage, listen
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 REPEAT_PART = 0.1  # of its work that a dropped repeat costs
 SPOILT = (
@@ -110,7 +110,7 @@
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
+        watch: InvariantChecker,
         name: str,
         tier: Tier,
         kind: Kind,
@@ -358,7 +358,7 @@
             following = self.machine.leave()
 
 
-def tell(stage: Stage, watch: Watch, txn: str, result: Result, excuse: str) -> None:
+def tell(stage: Stage, watch: InvariantChecker, txn: str, result: Result, excuse: str) -> None:
     """What the watch hears of how a call ended."""
     now = stage.now()
     if result.how == "answer" and result.answer is not None:
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -15,7 +15,7 @@
 from passpost.rehearsal.http import Request, RequestConnection
 from passpost.rehearsal.model import Discovery
 from passpost.rehearsal.stage import Stage, listen
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 LINE_TIMEOUT_S = 2.0  # a call that would wait longer for its turn is turned down
 # What an agent learns in the moment before it goes silent, nobody that reads it now and then can know: it counts
@@ -67,7 +67,7 @@
     def __init__(
         self,
         stage: Stage,
-        watch: Watch,
+        watch: InvariantChecker,
         settings: Discovery,
         ask_within_s: float,
         seed: int,
--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -66,7 +66,7 @@
     bodies: set[bytes] = field(default_factory=set)
 
 
-class Watch:
+class InvariantChecker:
     """Told of everything; `breaks` grows with each broken rule."""
 
     def __init__(self, contract: Contract) -> None:
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Config, Running, Stage
-from passpost.rehearsal.watch import Break, Watch
+from passpost.rehearsal.watch import Break, InvariantChecker
 
 WARM_UP_S = 20.0  # balancers that are not ready by then never will be
 SAMPLE_S = 0.5
@@ -94,7 +94,7 @@
             script, speech = carried.merged(script, file), carried.speech(script, file)
         self._file, self._speech = file, speech
         self.stage, self.script, self.seed, self._progress = stage, script, seed, progress
-        self.watch = Watch(script.contract)
+        self.watch = InvariantChecker(script.contract)
         self.night = Night(script, seed)
         self._random = random.Random(f"world {seed}")
         self._classes = {c.name: c for c in script.classes}
--- a/tests/rehearsal/test_watch.py
+++ b/tests/rehearsal/test_watch.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from passpost.rehearsal.model import Contract
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 from tests.rehearsal.nights import FRAME, INVOICE, SUBMIT
 
 
-def watch() -> Watch:
-    return Watch(Contract(drain_grace_ms=1_000))
+def watch() -> InvariantChecker:
+    return InvariantChecker(Contract(drain_grace_ms=1_000))
 
 
-def broken(w: Watch) -> list[str]:
+def broken(w: InvariantChecker) -> list[str]:
     return [b.rule for b in w.breaks]
 
 
-def serve(w: Watch, txn: str, at: float, body: bytes = b"made") -> None:
+def serve(w: InvariantChecker, txn: str, at: float, body: bytes = b"made") -> None:
     w.attempt(at, at, at, txn, "n1", "b1")
     w.answered(at, txn, "n1", b"made")
     w.served(at + 0.1, txn, body)
