--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from passpost.rehearsal import live
-from passpost.rehearsal.restarts import READY_S, Violation, draw, violations
+from passpost.rehearsal.restarts import READY_S, Failure, draw, violations
 from passpost.rehearsal.script import load
 
 ROOT = Path(__file__).parent.parent
@@ -38,7 +38,7 @@
     discovery: str
     requests: int
     served: int
-    violations: tuple[Violation, ...]
+    violations: tuple[Failure, ...]
 
 
 def play(seed: int) -> Run:
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Violation:
+class Failure:
     """Something that must not happen, with the timeline of the request that it happened to."""
 
     what: str
@@ -145,8 +145,8 @@
     return [kind() for kind in chance.sample(kinds, chance.randint(0, 3))]
 
 
-def violations(night: Night) -> list[Violation]:
+def violations(night: Night) -> list[Failure]:
     """All that went wrong: rules, exit statuses, errors in logs, and balancers that were not ready in time."""
     script_log = tuple(f"{at:9.3f}  {text}" for at, text in night.log)
-    found = [Violation(f"{b.rule}: {b.text}", tuple(b.story)) for b in night.breaks]
-    return found + [Violation(f"fault: {text}", script_log) for text in night.faults]
+    found = [Failure(f"{b.rule}: {b.text}", tuple(b.story)) for b in night.breaks]
+    return found + [Failure(f"fault: {text}", script_log) for text in night.faults]
