--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from passpost.rehearsal import live
-from passpost.rehearsal.restarts import READY_S, Failure, draw, violations
+from passpost.rehearsal.restarts import READY_S, Failure, draw, find_failures
 from passpost.rehearsal.script import load
 
 ROOT = Path(__file__).parent.parent
@@ -47,7 +47,7 @@
     night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
     served = sum(job.outcome == "served" for job in night.jobs)
     mode = scenario.script.discovery.mode
-    return Run(seed, scenario.host(), mode, len(night.jobs), served, tuple(violations(night)))
+    return Run(seed, scenario.host(), mode, len(night.jobs), served, tuple(find_failures(night)))
 
 
 def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -145,7 +145,7 @@
     return [kind() for kind in chance.sample(kinds, chance.randint(0, 3))]
 
 
-def violations(night: Night) -> list[Failure]:
+def find_failures(night: Night) -> list[Failure]:
     """All that went wrong: rules, exit statuses, errors in logs, and balancers that were not ready in time."""
     script_log = tuple(f"{at:9.3f}  {text}" for at, text in night.log)
     found = [Failure(f"{b.rule}: {b.text}", tuple(b.story)) for b in night.breaks]
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from passpost.rehearsal import live, model
-from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartScenario, draw, violations
+from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartScenario, draw, find_failures
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
 from passpost.rehearsal.world import Night
@@ -28,8 +28,8 @@
 def test_restarts_under_signals_and_troubles_lose_nothing(seed: int) -> None:
     scenario = drawn(seed)
     night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
-    assert violations(night) == [], "\n".join(
-        line for v in violations(night) for line in (v.what, *v.timeline)
+    assert find_failures(night) == [], "\n".join(
+        line for v in find_failures(night) for line in (v.what, *v.timeline)
     )
     assert any(job.outcome == "served" for job in night.jobs)
 
@@ -55,7 +55,7 @@
 
 def test_each_thing_that_must_not_happen_is_a_violation() -> None:
     script = drawn(2).script
-    assert violations(Night(script, 2)) == []
+    assert find_failures(Night(script, 2)) == []
     broken = Night(
         script,
         2,
@@ -63,7 +63,7 @@
         faults=["b1 ended with status -15"],
         log=[(2.0, "b1 gets SIGTERM")],
     )
-    found = violations(broken)
+    found = find_failures(broken)
     assert [v.what.partition(":")[0] for v in found] == ["lost", "fault"]
     assert found[0].timeline == ("t7 sent",) and "b1 gets SIGTERM" in found[1].timeline[0]
 
