--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -43,11 +43,11 @@
 
 def play(seed: int) -> Run:
     """One seed, in real time."""
-    scenario = draw(seed, load(str(SIDECAR)))
-    night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
+    case = draw(seed, load(str(SIDECAR)))
+    night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_S)
     served = sum(job.outcome == "served" for job in night.jobs)
-    mode = scenario.script.discovery.mode
-    return Run(seed, scenario.host(), mode, len(night.jobs), served, tuple(find_failures(night)))
+    mode = case.scenario.discovery.mode
+    return Run(seed, case.host(), mode, len(night.jobs), served, tuple(find_failures(night)))
 
 
 def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -36,15 +36,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RestartScenario:
+class RestartCase:
     """What one seed plays: a script, and the processes of a sidecar."""
 
-    script: Scenario
+    scenario: Scenario
     workers: int = 1
 
     def host(self) -> str:
         """By which program the balancers run."""
-        if self.script.sidecar is None:
+        if self.scenario.sidecar is None:
             return "platform"
         return "sidecar" if self.workers == 1 else f"{self.workers} workers"
 
@@ -57,7 +57,7 @@
     timeline: tuple[str, ...]
 
 
-def draw(seed: int, sidecar: Scenario) -> RestartScenario:
+def draw(seed: int, sidecar: Scenario) -> RestartCase:
     """The scenario of a seed; `sidecar` is the base of those that a sidecar plays."""
     chance = random.Random(f"restarts {seed}")
     if seed % SIDECAR_EVERY:
@@ -93,7 +93,7 @@
         ),
     )
     several = not seed % (SIDECAR_EVERY * WORKERS_EVERY)
-    return RestartScenario(script, WORKERS if several and script.sidecar is not None else 1)
+    return RestartCase(script, WORKERS if several and script.sidecar is not None else 1)
 
 
 def _with_unsized(tier: Tier, share: float) -> Tier:
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from passpost.rehearsal import live, model
-from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartScenario, draw, find_failures
+from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartCase, draw, find_failures
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
 from passpost.rehearsal.world import Night
@@ -20,14 +20,14 @@
 SOAK = {"platform, asked": 2, "platform, pushed": 7, "sidecar": 4, "workers": 12}
 
 
-def drawn(seed: int) -> RestartScenario:
+def drawn(seed: int) -> RestartCase:
     return draw(seed, SIDECAR)
 
 
 @pytest.mark.parametrize("seed", SOAK.values(), ids=SOAK.keys())
 def test_restarts_under_signals_and_troubles_lose_nothing(seed: int) -> None:
-    scenario = drawn(seed)
-    night = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
+    case = drawn(seed)
+    night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_S)
     assert find_failures(night) == [], "\n".join(
         line for v in find_failures(night) for line in (v.what, *v.timeline)
     )
@@ -42,19 +42,19 @@
 def test_seeds_draw_all_hosts_both_lists_and_every_signal() -> None:
     scenarios = [drawn(seed) for seed in range(1, 61)]
     assert {s.host() for s in scenarios} == {"platform", "sidecar", "2 workers"}
-    assert {s.script.discovery.mode for s in scenarios} == {"ask", "push"}
-    stops = [e for s in scenarios for e in s.script.events if isinstance(e, model.Stop)]
+    assert {s.scenario.discovery.mode for s in scenarios} == {"ask", "push"}
+    stops = [e for s in scenarios for e in s.scenario.events if isinstance(e, model.Stop)]
     assert {signal for stop in stops for signal in stop.then} == set(SIGNALS)
-    assert all(s.script.events for s in scenarios)
+    assert all(s.scenario.events for s in scenarios)
 
 
 def test_a_scenario_is_a_script_that_can_be_kept_and_played_again() -> None:
-    script = drawn(3).script
+    script = drawn(3).scenario
     assert parse(dump(script), "kept") == script
 
 
 def test_each_thing_that_must_not_happen_is_a_violation() -> None:
-    script = drawn(2).script
+    script = drawn(2).scenario
     assert find_failures(Night(script, 2)) == []
     broken = Night(
         script,
