--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -14,7 +14,7 @@
 
 LENGTH_S = 6.0
 LAST_STOP_S = 2.5  # later ones would leave the new process no time to be ready
-READY_S = 10.0  # after its start a balancer has to be ready
+READY_TIMEOUT_S = 10.0  # after its start a balancer has to be ready
 BACK_S = (0.05, 0.6)
 SOCKETS = (64, 1_024)  # descriptors; of few, callers fill theirs
 MOST_SIGNALS = 8
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from passpost.rehearsal import live, model
-from passpost.rehearsal.restarts import READY_S, SIGNALS, RestartCase, draw, find_failures
+from passpost.rehearsal.restarts import READY_TIMEOUT_S, SIGNALS, RestartCase, draw, find_failures
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
 from passpost.rehearsal.world import Night
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize("seed", SOAK.values(), ids=SOAK.keys())
 def test_restarts_under_signals_and_troubles_lose_nothing(seed: int) -> None:
     case = drawn(seed)
-    night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_S)
+    night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
     assert find_failures(night) == [], "\n".join(
         line for v in find_failures(night) for line in (v.what, *v.timeline)
     )
