--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -47,7 +47,7 @@
     night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
     served = sum(job.outcome == "served" for job in night.jobs)
     mode = case.scenario.discovery.mode
-    return Run(seed, case.host(), mode, len(night.jobs), served, tuple(find_failures(night)))
+    return Run(seed, case.deployment(), mode, len(night.jobs), served, tuple(find_failures(night)))
 
 
 def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -42,7 +42,7 @@
     scenario: Scenario
     workers: int = 1
 
-    def host(self) -> str:
+    def deployment(self) -> str:
         """By which program the balancers run."""
         if self.scenario.sidecar is None:
             return "platform"
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -41,7 +41,7 @@
 
 def test_seeds_draw_all_hosts_both_lists_and_every_signal() -> None:
     scenarios = [drawn(seed) for seed in range(1, 61)]
-    assert {s.host() for s in scenarios} == {"platform", "sidecar", "2 workers"}
+    assert {s.deployment() for s in scenarios} == {"platform", "sidecar", "2 workers"}
     assert {s.scenario.discovery.mode for s in scenarios} == {"ask", "push"}
     stops = [e for s in scenarios for e in s.scenario.events if isinstance(e, model.Stop)]
     assert {signal for stop in stops for signal in stop.then} == set(SIGNALS)
