--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 
 from passpost.rehearsal import live
-from passpost.rehearsal.restarts import READY_TIMEOUT_S, Failure, draw, find_failures
+from passpost.rehearsal.restarts import READY_TIMEOUT_S, Failure, draw_case, find_failures
 from passpost.rehearsal.script import load
 
 ROOT = Path(__file__).parent.parent
@@ -43,7 +43,7 @@
 
 def play(seed: int) -> Run:
     """One seed, in real time."""
-    case = draw(seed, load(str(SIDECAR)))
+    case = draw_case(seed, load(str(SIDECAR)))
     night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
     served = sum(job.outcome == "served" for job in night.jobs)
     mode = case.scenario.discovery.mode
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -57,7 +57,7 @@
     timeline: tuple[str, ...]
 
 
-def draw(seed: int, sidecar: Scenario) -> RestartCase:
+def draw_case(seed: int, sidecar: Scenario) -> RestartCase:
     """The scenario of a seed; `sidecar` is the base of those that a sidecar plays."""
     chance = random.Random(f"restarts {seed}")
     if seed % SIDECAR_EVERY:
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -10,7 +10,7 @@
 import pytest
 
 from passpost.rehearsal import live, model
-from passpost.rehearsal.restarts import READY_TIMEOUT_S, SIGNALS, RestartCase, draw, find_failures
+from passpost.rehearsal.restarts import READY_TIMEOUT_S, SIGNALS, RestartCase, draw_case, find_failures
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Break
 from passpost.rehearsal.world import Night
@@ -21,7 +21,7 @@
 
 
 def drawn(seed: int) -> RestartCase:
-    return draw(seed, SIDECAR)
+    return draw_case(seed, SIDECAR)
 
 
 @pytest.mark.parametrize("seed", SOAK.values(), ids=SOAK.keys())
