--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Break:
+class Violation:
     """One broken rule with the request's whole story."""
 
     rule: str
@@ -71,7 +71,7 @@
 
     def __init__(self, contract: Contract) -> None:
         self._contract = contract
-        self.breaks: list[Break] = []
+        self.breaks: list[Violation] = []
         self.attempts = 0
         self.sink: Callable[[str], None] | None = (
             None  # a line for each attempt and refusal, seen from outside
@@ -252,7 +252,7 @@
             self._seen.pop(self._over.popleft()[1], None)
 
     def _break(self, rule: str, now: float, text: str, txn: str) -> None:
-        self.breaks.append(Break(rule, now, text, self.story(txn)))
+        self.breaks.append(Violation(rule, now, text, self.story(txn)))
 
     def story(self, txn: str) -> list[str]:
         """All that is known of a request and of those that it is a part of, in order of time."""
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -21,7 +21,7 @@
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
 from passpost.rehearsal.stage import Config, Running, Stage
-from passpost.rehearsal.watch import Break, InvariantChecker
+from passpost.rehearsal.watch import InvariantChecker, Violation
 
 WARM_UP_S = 20.0  # balancers that are not ready by then never will be
 SAMPLE_S = 0.5
@@ -45,7 +45,7 @@
     script: Scenario
     seed: int
     jobs: list[Job] = field(default_factory=list)
-    breaks: list[Break] = field(default_factory=list)
+    breaks: list[Violation] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # of the program: a crash, an error that nobody caught
     samples: list[Sample] = field(default_factory=list)
     log: list[tuple[float, str]] = field(default_factory=list)  # what the script did
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -12,7 +12,7 @@
 from passpost.rehearsal import live, model
 from passpost.rehearsal.restarts import READY_TIMEOUT_S, SIGNALS, RestartCase, draw_case, find_failures
 from passpost.rehearsal.script import dump, load, parse
-from passpost.rehearsal.watch import Break
+from passpost.rehearsal.watch import Violation
 from passpost.rehearsal.world import Night
 from tests.loopback import ROOT
 
@@ -59,7 +59,7 @@
     broken = Night(
         script,
         2,
-        breaks=[Break("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
+        breaks=[Violation("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
         faults=["b1 ended with status -15"],
         log=[(2.0, "b1 gets SIGTERM")],
     )
