--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -125,5 +125,5 @@
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
     for found in night.breaks[:MOST_STORIES]:
         console.print(f"\n[bold red]{RULES[found.rule]}:[/] {found.text}")
-        for row in found.story:
+        for row in found.timeline:
             console.print(f"  {row}", markup=False)
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -146,7 +146,7 @@
         for rule, text in RULES.items()
     )
     stories = "".join(
-        f"<h2>{escape(RULES[b.rule])}: {escape(b.text)}</h2><pre>{escape(chr(10).join(b.story))}</pre>"
+        f"<h2>{escape(RULES[b.rule])}: {escape(b.text)}</h2><pre>{escape(chr(10).join(b.timeline))}</pre>"
         for b in night.breaks[:MOST_STORIES]
     )
     faults = f"<h2>Faults</h2><pre>{escape(chr(10).join(night.faults[:50]))}</pre>" if night.faults else ""
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -148,5 +148,5 @@
 def find_failures(night: Night) -> list[Failure]:
     """All that went wrong: rules, exit statuses, errors in logs, and balancers that were not ready in time."""
     script_log = tuple(f"{at:9.3f}  {text}" for at, text in night.log)
-    found = [Failure(f"{b.rule}: {b.text}", tuple(b.story)) for b in night.breaks]
+    found = [Failure(f"{b.rule}: {b.text}", tuple(b.timeline)) for b in night.breaks]
     return found + [Failure(f"fault: {text}", script_log) for text in night.faults]
--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -22,7 +22,7 @@
 from passpost.rehearsal.model import Class, Contract
 
 SLACK_S = 0.05  # every time limit is so much longer, as clocks and loops are coarse
-KEEP_S = 20.0  # a request that is over is remembered for so long, for its story and for late sends
+KEEP_S = 20.0  # a request that is over is remembered for so long, for its timeline and for late sends
 TOLD_PART = 2 / 3  # of the pressure on a cold node must come from balancers that knew
 
 LEFT_S, LEFT_SHARE, LEFT_FEW = 0.3, 0.25, 4  # of up to so few cases a share tells nothing
@@ -38,12 +38,12 @@
 
 @dataclass(slots=True)
 class Violation:
-    """One broken rule with the request's whole story."""
+    """One broken rule with the request's timeline."""
 
     rule: str
     at: float
     text: str
-    story: list[str]
+    timeline: list[str]
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     cls: Class
     balancer: str
     parent: str
-    story: list[tuple[float, str]]
+    timeline: list[tuple[float, str]]
     taken: float = 0.0
     due: float = 0.0
     answered: float | None = None
@@ -93,7 +93,7 @@
         if seen is None:
             seen = self._seen[txn] = _Seen(cls, balancer, parent, [])
         seen.taken, seen.due = now, due
-        seen.story.append((now, f"{txn} ({cls.name}, {cls.effect}) sent to {balancer}, due {due:.3f}"))
+        seen.timeline.append((now, f"{txn} ({cls.name}, {cls.effect}) sent to {balancer}, due {due:.3f}"))
         self._forget(now)
 
     def served(self, now: float, txn: str, body: bytes) -> None:
@@ -123,7 +123,7 @@
         """It ended without an answer for a reason that is not the balancer's; it may not know that."""
         seen = self._seen.get(txn)
         if seen is not None:
-            seen.story.append((now, f"{txn} {why}"))
+            seen.timeline.append((now, f"{txn} {why}"))
             seen.given_up = True
             self._over.append((now, txn))
 
@@ -147,7 +147,7 @@
         seen = self._seen.get(txn)
         if seen is None:
             return None
-        seen.story.append((now, f"{txn} {what}"))
+        seen.timeline.append((now, f"{txn} {what}"))
         if seen.answered is not None:
             self._break("lost", now, f"{txn} got a second answer", txn)
         seen.answered = now
@@ -167,7 +167,7 @@
         seen = self._seen.get(txn)
         if seen is not None:
             seen.attempts += 1
-            seen.story.append((now, f"{txn} attempt {seen.attempts} at {node}, written {begun:.3f}"))
+            seen.timeline.append((now, f"{txn} attempt {seen.attempts} at {node}, written {begun:.3f}"))
         told = self._drained.get((balancer, node))
         if told is not None and begun > told + self._contract.drain_grace_ms / 1000 + SLACK_S:
             text = f"{balancer} sent {txn} to {node} {begun - told:.3f} s after it was told of its drain"
@@ -196,7 +196,7 @@
         """An attempt never ran."""
         seen = self._seen.get(txn)
         if seen is not None:
-            seen.story.append((now, f"{txn} turned away by {node}"))
+            seen.timeline.append((now, f"{txn} turned away by {node}"))
             seen.ran.pop(number, None)
 
     def answered(self, now: float, txn: str, node: str, body: bytes) -> None:
@@ -204,13 +204,13 @@
         seen = self._seen.get(txn)
         if seen is not None:
             seen.bodies.add(body)
-            seen.story.append((now, f"{txn} answered by {node}"))
+            seen.timeline.append((now, f"{txn} answered by {node}"))
 
     def note(self, now: float, txn: str, text: str) -> None:
-        """Something that belongs to a request's story."""
+        """Something that belongs to a request's timeline."""
         seen = self._seen.get(txn)
         if seen is not None:
-            seen.story.append((now, f"{txn} {text}"))
+            seen.timeline.append((now, f"{txn} {text}"))
 
     def fell(self, now: float, node: str, started: float, pressure: dict[str, float]) -> None:
         """A cold node fell over; `pressure` is the work that did it, by balancer."""
@@ -252,14 +252,14 @@
             self._seen.pop(self._over.popleft()[1], None)
 
     def _break(self, rule: str, now: float, text: str, txn: str) -> None:
-        self.breaks.append(Violation(rule, now, text, self.story(txn)))
+        self.breaks.append(Violation(rule, now, text, self.timeline(txn)))
 
-    def story(self, txn: str) -> list[str]:
+    def timeline(self, txn: str) -> list[str]:
         """All that is known of a request and of those that it is a part of, in order of time."""
         lines: list[tuple[float, str]] = []
         seen = self._seen.get(txn)
         while seen is not None:
-            lines += seen.story
+            lines += seen.timeline
             seen = self._seen.get(seen.parent)
         return [f"{at:9.3f}  {text}" for at, text in sorted(lines, key=lambda line: line[0])]
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -103,7 +103,7 @@
 def test_one_that_sends_twice_is_caught() -> None:
     night, _ = decisions(script(), 1, nights.ServesTwice)
     assert "twice" in rules(night)
-    story = next(b for b in night.breaks if b.rule == "twice").story
+    story = next(b for b in night.breaks if b.rule == "twice").timeline
     assert any("invoice, unsafe" in line for line in story)
     assert sum("attempt" in line for line in story) >= 2
 
