--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -235,7 +235,7 @@
     except StuckError as error:
         night = world.night
         night.faults.append(str(error))
-        night.jobs, night.breaks = world.clients.jobs, world.watch.breaks
+        night.jobs, night.breaks = world.clients.jobs, world.watch.violations
         night.ended = stage.now()
     finally:
         log.removeHandler(handler)
--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -67,11 +67,11 @@
 
 
 class InvariantChecker:
-    """Told of everything; `breaks` grows with each broken rule."""
+    """Told of everything; `violations` grows with each broken rule."""
 
     def __init__(self, contract: Contract) -> None:
         self._contract = contract
-        self.breaks: list[Violation] = []
+        self.violations: list[Violation] = []
         self.attempts = 0
         self.sink: Callable[[str], None] | None = (
             None  # a line for each attempt and refusal, seen from outside
@@ -252,7 +252,7 @@
             self._seen.pop(self._over.popleft()[1], None)
 
     def _break(self, rule: str, now: float, text: str, txn: str) -> None:
-        self.breaks.append(Violation(rule, now, text, self.timeline(txn)))
+        self.violations.append(Violation(rule, now, text, self.timeline(txn)))
 
     def timeline(self, txn: str) -> list[str]:
         """All that is known of a request and of those that it is a part of, in order of time."""
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -191,7 +191,7 @@
             if place.node is not None:
                 self.stage.run_as(place.name, place.node.close)
         self.watch.ended(self.stage.now())
-        night.jobs, night.breaks = self.clients.jobs, self.watch.breaks
+        night.jobs, night.breaks = self.clients.jobs, self.watch.violations
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
         night.attempts, night.ended = self.watch.attempts, self.stage.now()
         return night
--- a/tests/rehearsal/test_watch.py
+++ b/tests/rehearsal/test_watch.py
@@ -12,7 +12,7 @@
 
 
 def broken(w: InvariantChecker) -> list[str]:
-    return [b.rule for b in w.breaks]
+    return [b.rule for b in w.violations]
 
 
 def serve(w: InvariantChecker, txn: str, at: float, body: bytes = b"made") -> None:
@@ -157,7 +157,7 @@
     w.attempt(1.0, 1.0, 1.05, "t1", "f1", "b1")
     w.asked(1.1, "t1.f1.1", FRAME, "b-f1", 2.0, parent="t1")
     w.lost(2.2, "t1.f1.1", "no answer in time")
-    story = w.breaks[0].timeline
+    story = w.violations[0].timeline
     assert [line.split()[1] for line in story] == ["t1", "t1", "t1.f1.1", "t1.f1.1"]
     assert "at f1" in story[1] and "no answer in time" in story[-1]
 
