--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -190,18 +190,18 @@
 
         def data() -> bytes:
             now = self._stage.now()
-            self._watch.asked(now, txn, cls, balancer, due)
+            self._watch.request_sent(now, txn, cls, balancer, due)
             tenant = job.tenant if self._script.tenants else ""
             topic = f"m{job.number % 997}"
             return self._speech.write(cls, txn, max(due - now, 0.001), tenant, job.key, topic)
 
         def done(result: Result) -> None:
             if result.how == "crossed" and not fresh:  # the same request once more, on a new connection
-                self._watch.note(self._stage.now(), txn, "crossed a close; sent once more")
+                self._watch.add_note(self._stage.now(), txn, "crossed a close; sent once more")
                 self._send(job, process, balancer, txn, due, unreached, fresh=True)
                 return
             if result.how == "left":
-                self._watch.left(self._stage.now(), txn)
+                self._watch.client_left(self._stage.now(), txn)
             else:
                 tell(self._stage, self._watch, txn, result, self._excuse(balancer, begun))
             self._ended(job, process, result, unreached)
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -226,7 +226,7 @@
         self._count += 1
         work = _Work(connection, asked, cls, self._count)
         connection.work = work
-        work.attempt = self.watch.attempt(
+        work.attempt = self.watch.attempt_received(
             request.begun, request.written, now, txn, self.name, connection.balancer
         )
         work.due = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
@@ -249,7 +249,7 @@
             self._works[work.number] = work
         if self.machine.fallen and not self.said_fallen:
             self.said_fallen = True
-            self.watch.fell(now, self.name, self.started, self.machine.pressure_by())
+            self.watch.node_overloaded(now, self.name, self.started, self.machine.pressure_by())
         self._advance()
 
     def _draw(self, cls: Class, txn: str) -> float:
@@ -260,7 +260,7 @@
         return random.Random(f"work {self._seed} {txn}").gammavariate(shape, cls.work_ms / shape)
 
     def _turn_away(self, work: _Work) -> None:
-        self.watch.turned_away(self.stage.now(), work.txn, self.name, work.attempt)
+        self.watch.attempt_turned_away(self.stage.now(), work.txn, self.name, work.attempt)
         if work.connection is not None:
             work.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
 
@@ -303,7 +303,7 @@
 
         def data() -> bytes:
             left = max(work.due - self.stage.now(), 0.0)
-            self.watch.asked(self.stage.now(), txn, work.cls, balancer, work.due, work.txn)
+            self.watch.request_sent(self.stage.now(), txn, work.cls, balancer, work.due, work.txn)
             return write_request(
                 work.cls.name, work.cls.effect, txn, left, tenant, f"{key}.{work.calls_left}"
             )
@@ -341,7 +341,7 @@
             connection.write(self._chance.choice(SPOILT))
         else:
             body = f"{work.txn} by {self.name}".encode()
-            self.watch.answered(self.stage.now(), work.txn, self.name, body)
+            self.watch.node_responded(self.stage.now(), work.txn, self.name, body)
             connection.answer(200, body)
 
     def _end(self, work: _Work) -> None:
@@ -364,19 +364,19 @@
     if result.how == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
-            watch.served(now, txn, result.answer.body)
+            watch.response_served(now, txn, result.answer.body)
         elif status in (429, 503):
-            watch.refused(now, txn)
+            watch.response_refused(now, txn)
         else:
-            watch.failed(now, txn, status)
+            watch.response_failed(now, txn, status)
     elif result.how == "crossed":
-        watch.excused(now, txn, "crossed the close of its connection")
+        watch.response_excused(now, txn, "crossed the close of its connection")
     elif result.how == "unreached":
         return  # never asked
     elif excuse:
-        watch.excused(now, txn, f"{result.how}: {excuse}")
+        watch.response_excused(now, txn, f"{result.how}: {excuse}")
     else:
-        watch.lost(
+        watch.response_lost(
             now,
             txn,
             {"silent": "no answer in time", "ended": "closed with no whole answer"}.get(
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -151,7 +151,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(due - now, self._counts_as_told, entry, balancer, life)
         else:
-            self._watch.told(now, balancer, entry.node, False, entry.started)
+            self._watch.list_notified(now, balancer, entry.node, False, entry.started)
 
     def unwatched(self, balancer: str, failed: bool = False) -> None:
         """A balancer neither watches nor asks from now on; `failed`: its call has."""
@@ -282,7 +282,9 @@
         if entry.phase != "active" and not self.reachable(balancer, self.stage.now()):
             asyncio.get_running_loop().call_later(AGAIN_S, self._tell, balancer, entry)
             return
-        self._watch.told(self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started)
+        self._watch.list_notified(
+            self.stage.now(), balancer, entry.node, entry.phase == "active", entry.started
+        )
 
     def _listing(self, balancer: str, after: int | None) -> dict[str, Any]:
         """What is told, in discovery's form; the watch hears of it."""
--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -87,7 +87,9 @@
 
     # ---- the callers' side
 
-    def asked(self, now: float, txn: str, cls: Class, balancer: str, due: float, parent: str = "") -> None:
+    def request_sent(
+        self, now: float, txn: str, cls: Class, balancer: str, due: float, parent: str = ""
+    ) -> None:
         """A request's last byte is written to a balancer, which owes the answer by `due`."""
         seen = self._seen.get(txn)
         if seen is None:
@@ -96,13 +98,13 @@
         seen.timeline.append((now, f"{txn} ({cls.name}, {cls.effect}) sent to {balancer}, due {due:.3f}"))
         self._forget(now)
 
-    def served(self, now: float, txn: str, body: bytes) -> None:
+    def response_served(self, now: float, txn: str, body: bytes) -> None:
         """The whole answer 200 is there."""
         seen = self._answer(now, txn, "served")
         if seen is not None and body not in seen.bodies:
             self._break("lost", now, f"{txn} was served with an answer that no node made for it", txn)
 
-    def refused(self, now: float, txn: str) -> None:
+    def response_refused(self, now: float, txn: str) -> None:
         """The answer 429 or 503 is there: trying again is harmless."""
         seen = self._answer(now, txn, "refused")
         if self.sink is not None and seen is not None:
@@ -110,16 +112,16 @@
         if seen is not None and seen.cls.effect == "unsafe" and seen.ran:
             self._break("twice", now, f"{txn} is unsafe, may have run, and was refused", txn)
 
-    def failed(self, now: float, txn: str, status: int) -> None:
+    def response_failed(self, now: float, txn: str, status: int) -> None:
         """Any other answer."""
         self._answer(now, txn, f"failed with {status}")
 
-    def lost(self, now: float, txn: str, why: str) -> None:
+    def response_lost(self, now: float, txn: str, why: str) -> None:
         """It ended without an answer, and its balancer runs: nothing excuses that."""
         if self._answer(now, txn, why) is not None:
             self._break("lost", now, f"{txn}: {why}", txn)
 
-    def excused(self, now: float, txn: str, why: str) -> None:
+    def response_excused(self, now: float, txn: str, why: str) -> None:
         """It ended without an answer for a reason that is not the balancer's; it may not know that."""
         seen = self._seen.get(txn)
         if seen is not None:
@@ -127,15 +129,15 @@
             seen.given_up = True
             self._over.append((now, txn))
 
-    def left(self, now: float, txn: str) -> None:
+    def client_left(self, now: float, txn: str) -> None:
         """The client has hung up before its time was over."""
-        self.excused(now, txn, "left by its client")
+        self.response_excused(now, txn, "left by its client")
         seen = self._seen.get(txn)
         if seen is not None and not seen.ran:
             seen.left = now
             self.left_waiting += 1
 
-    def ended(self, now: float) -> None:
+    def run_ended(self, now: float) -> None:
         """The night is over: what only its whole can tell."""
         if self.left_waiting > LEFT_FEW and self.sent_after > LEFT_SHARE * self.left_waiting:
             text = (
@@ -156,7 +158,9 @@
 
     # ---- the nodes' side
 
-    def attempt(self, begun: float, written: float, now: float, txn: str, node: str, balancer: str) -> int:
+    def attempt_received(
+        self, begun: float, written: float, now: float, txn: str, node: str, balancer: str
+    ) -> int:
         """An attempt's last byte has come to a node; its first was written at `begun`, its last at `written`.
 
         The result is its number for `turned_away`.
@@ -192,27 +196,27 @@
         seen.ran[seen.attempts] = written
         return seen.attempts
 
-    def turned_away(self, now: float, txn: str, node: str, number: int) -> None:
+    def attempt_turned_away(self, now: float, txn: str, node: str, number: int) -> None:
         """An attempt never ran."""
         seen = self._seen.get(txn)
         if seen is not None:
             seen.timeline.append((now, f"{txn} turned away by {node}"))
             seen.ran.pop(number, None)
 
-    def answered(self, now: float, txn: str, node: str, body: bytes) -> None:
+    def node_responded(self, now: float, txn: str, node: str, body: bytes) -> None:
         """A node answers 200 with this body."""
         seen = self._seen.get(txn)
         if seen is not None:
             seen.bodies.add(body)
             seen.timeline.append((now, f"{txn} answered by {node}"))
 
-    def note(self, now: float, txn: str, text: str) -> None:
+    def add_note(self, now: float, txn: str, text: str) -> None:
         """Something that belongs to a request's timeline."""
         seen = self._seen.get(txn)
         if seen is not None:
             seen.timeline.append((now, f"{txn} {text}"))
 
-    def fell(self, now: float, node: str, started: float, pressure: dict[str, float]) -> None:
+    def node_overloaded(self, now: float, node: str, started: float, pressure: dict[str, float]) -> None:
         """A cold node fell over; `pressure` is the work that did it, by balancer."""
         whole = sum(pressure.values())
         told = sum(v for k, v in pressure.items() if (k, node, started) in self._knows)
@@ -222,7 +226,7 @@
 
     # ---- the list
 
-    def told(self, now: float, balancer: str, node: str, serves: bool, started: float) -> None:
+    def list_notified(self, now: float, balancer: str, node: str, serves: bool, started: float) -> None:
         """The list has told a balancer of a node: that it serves (since `started`), or leaves or is gone."""
         if serves:
             self._drained.pop((balancer, node), None)
@@ -230,7 +234,7 @@
         else:
             self._drained.setdefault((balancer, node), now)
 
-    def woke(self, now: float, balancer: str, slept_from: float) -> None:
+    def balancer_resumed(self, now: float, balancer: str, slept_from: float) -> None:
         """A balancer that stood still goes on: what it was told meanwhile it can only read now."""
         for pair, told in self._drained.items():
             if pair[0] == balancer and told > slept_from - SLACK_S:
@@ -243,7 +247,7 @@
 
     # ---- the end
 
-    def unanswered(self) -> list[str]:
+    def unanswered_requests(self) -> list[str]:
         """Requests that are still open."""
         return [txn for txn, seen in self._seen.items() if seen.answered is None and not seen.given_up]
 
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -190,7 +190,7 @@
         for place in self._all_places:
             if place.node is not None:
                 self.stage.run_as(place.name, place.node.close)
-        self.watch.ended(self.stage.now())
+        self.watch.run_ended(self.stage.now())
         night.jobs, night.breaks = self.clients.jobs, self.watch.violations
         night.left_waiting, night.sent_after = self.watch.left_waiting, self.watch.sent_after
         night.attempts, night.ended = self.watch.attempts, self.stage.now()
@@ -483,7 +483,7 @@
 
         def wake() -> None:
             self.stage.pause(name, False)
-            self.watch.woke(self.stage.now(), name, slept_from)
+            self.watch.balancer_resumed(self.stage.now(), name, slept_from)
 
         self._after(seconds, wake)
 
