--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -56,7 +56,7 @@
         return 0
     path = Path(out or f"found-{found.seed}.toml")
     try:
-        path.write_text(dump(found.script), encoding="utf-8")
+        path.write_text(dump(found.scenario), encoding="utf-8")
     except OSError as error:
         raise UnusableError(f"{path}: {error.strerror}") from None
     if as_json:
@@ -64,6 +64,8 @@
         click.echo(json.dumps(result))
     else:
         click.echo(f"seed {found.seed}, after {played} nights: {found.what}")
-        click.echo(f"shrunk to {len(found.script.events)} failures (of {found.drawn}); replay it with:")
+        click.echo(
+            f"shrunk to {len(found.scenario.events)} failures (of {found.drawn_events}); replay it with:"
+        )
         click.echo(f"  passpost rehearse {path}")
     return 1
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -21,13 +21,13 @@
 
 
 @dataclass(frozen=True)
-class Found:
+class Finding:
     """A night on which something went against the rules, shrunk; its script replays it."""
 
     seed: int
     what: str
-    script: Scenario
-    drawn: int  # failures before it was shrunk
+    scenario: Scenario
+    drawn_events: int  # failures before the scenario was shrunk
 
 
 def draw(base: Scenario, seed: int, most: int) -> Scenario:
@@ -99,7 +99,7 @@
     most: int,
     progress: Callable[[], None] = lambda: None,
     module: Module = Balancer,
-) -> tuple[Found | None, int]:
+) -> tuple[Finding | None, int]:
     """Play nights until one goes wrong; that one, shrunk, and how many were played.
 
     The result does not depend on `jobs`: of several bad nights it is the one with the lowest seed.
@@ -135,7 +135,7 @@
     return shrink(draw(base, seed, most), bad[seed], module), played
 
 
-def shrink(script: Scenario, what: str, module: Module = Balancer) -> Found:
+def shrink(script: Scenario, what: str, module: Module = Balancer) -> Finding:
     """Leave out failures, then shorten the night, as long as the same rule breaks."""
     seed, drawn = script.seed, len(script.events)
 
@@ -159,4 +159,4 @@
                 script, what = candidate, found
                 break
     title = f"Found: {_kind(what)} with seed {seed}"
-    return Found(seed, what, msgspec.structs.replace(script, title=title, about=what), drawn)
+    return Finding(seed, what, msgspec.structs.replace(script, title=title, about=what), drawn)
