--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -30,7 +30,7 @@
     drawn_events: int  # failures before the scenario was shrunk
 
 
-def draw(base: Scenario, seed: int, most: int) -> Scenario:
+def draw_scenario(base: Scenario, seed: int, most: int) -> Scenario:
     """The base's night with up to `most` failures more, some at the same time."""
     chance = random.Random(f"explore {seed}")
     events = list(base.events)
@@ -89,7 +89,7 @@
 
 def try_seed(base: Scenario, seed: int, most: int, module: Module = Balancer) -> str:
     """Play one drawn night; the verdict."""
-    return verdict(play(draw(base, seed, most), seed, module=module))
+    return verdict(play(draw_scenario(base, seed, most), seed, module=module))
 
 
 def explore(
@@ -111,7 +111,7 @@
             played += 1
             progress()
             if what:
-                return shrink(draw(base, seed, most), what, module), played
+                return shrink(draw_scenario(base, seed, most), what, module), played
         return None, played
     bad: dict[int, str] = {}
     context = multiprocessing.get_context("spawn")  # a fork would carry over what the caller has running
@@ -132,7 +132,7 @@
     if not bad:
         return None, played
     seed = min(bad)
-    return shrink(draw(base, seed, most), bad[seed], module), played
+    return shrink(draw_scenario(base, seed, most), bad[seed], module), played
 
 
 def shrink(script: Scenario, what: str, module: Module = Balancer) -> Finding:
--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from passpost.rehearsal.explore import draw
+from passpost.rehearsal.explore import draw_scenario
 from passpost.rehearsal.script import ScenarioError, dump, load, parse
 from tests.rehearsal.nights import script
 
@@ -130,7 +130,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10**9), st.integers(0, 8))
 def test_drawn_nights_are_allowed_and_come_back_as_they_were(seed: int, most: int) -> None:
-    night = draw(script(tiers=2), seed, most)
+    night = draw_scenario(script(tiers=2), seed, most)
     text = dump(night)
     assert parse(text, "again") == night
     assert dump(parse(text, "again")) == text
