--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -17,7 +17,7 @@
 from passpost.cli.command import UnusableError
 from passpost.rehearsal import report
 from passpost.rehearsal.script import ScenarioError, load
-from passpost.rehearsal.summary import HEADS, Summary, summarize
+from passpost.rehearsal.summary import COLUMN_TITLES, Summary, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
@@ -104,7 +104,7 @@
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 100)
     table = Table(title=f"{figures.title} (seed {figures.seed})", title_justify="left")
     table.add_column("")
-    for head in HEADS[1:]:
+    for head in COLUMN_TITLES[1:]:
         table.add_column(head, justify="right")
     for line in (figures.whole, *figures.by_class, *figures.by_tenant):
         table.add_row(*line.cells())
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -4,7 +4,7 @@
 
 from html import escape
 
-from passpost.rehearsal.summary import HEADS, OUTCOMES, Line, Summary, by_second, summarize
+from passpost.rehearsal.summary import COLUMN_TITLES, OUTCOMES, Line, Summary, by_second, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
@@ -56,7 +56,7 @@
 
     lines = [figures.whole, *figures.by_class, *figures.by_tenant]
     return (
-        f"<table><tr>{''.join(f'<th>{h}</th>' for h in HEADS)}</tr>{''.join(map(row, lines))}</table>"
+        f"<table><tr>{''.join(f'<th>{h}</th>' for h in COLUMN_TITLES)}</tr>{''.join(map(row, lines))}</table>"
         f"<p>{figures.attempts_each:.2f} attempts and {figures.tries_each:.2f} tries for each request</p>"
     )
 
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -10,7 +10,7 @@
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
-HEADS = ("", "requests", "served", "in time", "refused", "failed", "p50 ms", "p99 ms", "worth")
+COLUMN_TITLES = ("", "requests", "served", "in time", "refused", "failed", "p50 ms", "p99 ms", "worth")
 OUTCOMES = ("in time", "late", "refused", "failed")
 
 
@@ -41,7 +41,7 @@
     worth: float
 
     def cells(self) -> tuple[str, ...]:
-        """As people read it, under HEADS."""
+        """As people read it, under COLUMN_TITLES."""
         shares = (f"{x:.1%}" for x in (self.served, self.in_time, self.refused, self.failed))
         return (
             self.name,
