--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -4,7 +4,7 @@
 
 from html import escape
 
-from passpost.rehearsal.summary import COLUMN_TITLES, OUTCOMES, Line, Summary, by_second, summarize
+from passpost.rehearsal.summary import COLUMN_TITLES, OUTCOMES, Row, Summary, by_second, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
@@ -51,7 +51,7 @@
 
 
 def _table(figures: Summary) -> str:
-    def row(line: Line) -> str:
+    def row(line: Row) -> str:
         return f"<tr>{''.join(f'<td>{escape(cell)}</td>' for cell in line.cells())}</tr>"
 
     lines = [figures.whole, *figures.by_class, *figures.by_tenant]
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class Row:
     """One row of the table; times in milliseconds, over served requests; shares of what was asked."""
 
     name: str
@@ -61,9 +61,9 @@
     seed: int
     seconds: float
     wall_s: float
-    whole: Line
-    by_class: tuple[Line, ...]
-    by_tenant: tuple[Line, ...]
+    whole: Row
+    by_class: tuple[Row, ...]
+    by_tenant: tuple[Row, ...]
     attempts: int
     attempts_each: float  # at all tiers, for one first try
     tries_each: float
@@ -75,8 +75,8 @@
     def as_json(self) -> dict[str, Any]:
         """Plain values for a program to read."""
 
-        def row(line: Line) -> dict[str, Any]:
-            return {n: _rounded(getattr(line, n)) for n in Line.__slots__}
+        def row(line: Row) -> dict[str, Any]:
+            return {n: _rounded(getattr(line, n)) for n in Row.__slots__}
 
         return {
             "title": self.title,
@@ -110,11 +110,9 @@
         seed=night.seed,
         seconds=night.ended - night.began,
         wall_s=night.wall_s,
-        whole=_line("all", jobs),
-        by_class=tuple(
-            _line(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes
-        ),
-        by_tenant=tuple(_line(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
+        whole=_row("all", jobs),
+        by_class=tuple(_row(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes),
+        by_tenant=tuple(_row(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
         attempts=night.attempts,
         attempts_each=night.attempts / each,
         tries_each=sum(j.tries for j in jobs) / each,
@@ -125,12 +123,12 @@
     )
 
 
-def _line(name: str, jobs: list[Job]) -> Line:
+def _row(name: str, jobs: list[Job]) -> Row:
     total = max(len(jobs), 1)
     count = Counter(map(outcome, jobs))
     times = sorted((j.ended - j.first) * 1000 for j in jobs if j.outcome == "served")
     asked = sum(j.cls.worth for j in jobs)
-    return Line(
+    return Row(
         name=name,
         requests=len(jobs),
         served=len(times) / total,
