--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -49,9 +49,9 @@
         "simulated_s": round(figures.seconds, 1),
         "wall_s": round(night.wall_s, 2),
         "simulated_s_a_wall_s": round(figures.seconds / night.wall_s, 2),
-        "requests_a_wall_s": round(figures.whole.requests / night.wall_s),
+        "requests_a_wall_s": round(figures.total.requests / night.wall_s),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
-        "served": round(figures.whole.served, 4),
+        "served": round(figures.total.served, 4),
         "good": night.is_good(),
     }
 
@@ -67,9 +67,9 @@
     row: dict[str, Any] = {"script": Path(path).stem}
     for host, night in both.items():
         figures = summarize(night)
-        row[f"{host}_served"] = round(figures.whole.served, 4)
-        row[f"{host}_in_time"] = round(figures.whole.in_time, 4)
-        row[f"{host}_p99_ms"] = round(figures.whole.p99_ms)
+        row[f"{host}_served"] = round(figures.total.served, 4)
+        row[f"{host}_in_time"] = round(figures.total.in_time, 4)
+        row[f"{host}_p99_ms"] = round(figures.total.p99_ms)
         row[f"{host}_breaks"] = sum(figures.breaks.values())
         row[f"{host}_faults"] = night.faults[:3]
         if night.breaks:
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -106,7 +106,7 @@
     table.add_column("")
     for head in COLUMN_TITLES[1:]:
         table.add_column(head, justify="right")
-    for line in (figures.whole, *figures.by_class, *figures.by_tenant):
+    for line in (figures.total, *figures.by_class, *figures.by_tenant):
         table.add_row(*line.cells())
     console.print(table)
     console.print(
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -34,8 +34,8 @@
     parts = [
         f"<h1>{escape(figures.title)}</h1>",
         f"<p>{escape(night.script.about)}</p>" if night.script.about else "",
-        f"<p>seed {figures.seed}, {figures.seconds:.0f} s, {figures.whole.requests:,} requests, "
-        f"{figures.whole.served:.1%} served: {verdict}</p>",
+        f"<p>seed {figures.seed}, {figures.seconds:.0f} s, {figures.total.requests:,} requests, "
+        f"{figures.total.served:.1%} served: {verdict}</p>",
         _table(figures),
         "<h2>Outcomes by the second in which they were asked</h2>",
         _key(),
@@ -54,7 +54,7 @@
     def row(line: Row) -> str:
         return f"<tr>{''.join(f'<td>{escape(cell)}</td>' for cell in line.cells())}</tr>"
 
-    lines = [figures.whole, *figures.by_class, *figures.by_tenant]
+    lines = [figures.total, *figures.by_class, *figures.by_tenant]
     return (
         f"<table><tr>{''.join(f'<th>{h}</th>' for h in COLUMN_TITLES)}</tr>{''.join(map(row, lines))}</table>"
         f"<p>{figures.attempts_each:.2f} attempts and {figures.tries_each:.2f} tries for each request</p>"
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -61,7 +61,7 @@
     seed: int
     seconds: float
     wall_s: float
-    whole: Row
+    total: Row
     by_class: tuple[Row, ...]
     by_tenant: tuple[Row, ...]
     attempts: int
@@ -83,7 +83,7 @@
             "seed": self.seed,
             "seconds": _rounded(self.seconds),
             "wall_s": _rounded(self.wall_s),
-            "all": row(self.whole),
+            "all": row(self.total),
             "classes": [row(line) for line in self.by_class],
             "tenants": [row(line) for line in self.by_tenant],
             "attempts": self.attempts,
@@ -110,7 +110,7 @@
         seed=night.seed,
         seconds=night.ended - night.began,
         wall_s=night.wall_s,
-        whole=_row("all", jobs),
+        total=_row("all", jobs),
         by_class=tuple(_row(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes),
         by_tenant=tuple(_row(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
         attempts=night.attempts,
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -68,7 +68,7 @@
     )
     assert played.is_good(), (played.faults, played.breaks)
     figures = summarize(played)
-    assert figures.whole.served == 1.0 and {line.name for line in figures.by_class} == {
+    assert figures.total.served == 1.0 and {line.name for line in figures.by_class} == {
         "submit",
         "frame",
         "pay",
@@ -88,7 +88,7 @@
     reloads = [model.Reload(at_s=0.2 * i, balancer="b1") for i in range(1, 12)]
     played = play(script(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
     assert played.is_good(), (played.faults, played.breaks)
-    assert len(played.jobs) > 150 and summarize(played).whole.served == 1.0
+    assert len(played.jobs) > 150 and summarize(played).total.served == 1.0
     assert Counter(text for _, text in played.log)["b1: discovery moves, SIGHUP"] == 11
 
 
@@ -119,7 +119,7 @@
     night = load(str(path))
     played = play(night, night.seed)
     assert played.is_good(), (played.faults, played.breaks)
-    assert summarize(played).whole.served > 0.9
+    assert summarize(played).total.served > 0.9
     assert "b1: discovery moves, SIGHUP" in {text for _, text in played.log}
     assert parse_script(dump(night), "elsewhere/copy.toml") == night  # its file is found from anywhere
 
@@ -149,8 +149,8 @@
         )
     )
     played = live.play(load(str(tmp_path / "night.toml")), 1)
-    assert played.faults == [] and summarize(played).whole.served > 0
-    assert played.attempts >= summarize(played).whole.requests > 10
+    assert played.faults == [] and summarize(played).total.served > 0
+    assert played.attempts >= summarize(played).total.requests > 10
 
 
 @pytest.mark.parametrize(
--- a/tests/rehearsal/test_live.py
+++ b/tests/rehearsal/test_live.py
@@ -30,7 +30,7 @@
     )
     assert night.faults == []
     figures = summarize(night)
-    assert figures.whole.requests > 10 and figures.whole.served > 0
+    assert figures.total.requests > 10 and figures.total.served > 0
     assert [text for _, text in night.log if "b2" in text] == ["b2 killed", "b2 starts again"]
 
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -43,9 +43,9 @@
     night = play(script(tiers=2), 1)
     figures = summarize(night)
     assert night.is_good(), (night.faults, night.breaks)
-    assert figures.whole.served == 1.0 and figures.whole.requests > 150
+    assert figures.total.served == 1.0 and figures.total.requests > 150
     assert figures.attempts_each == 2.0  # one at each tier
-    assert sum(sum(c.values()) for c in by_second(night)) == figures.whole.requests
+    assert sum(sum(c.values()) for c in by_second(night)) == figures.total.requests
 
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
@@ -76,7 +76,7 @@
     )
     played = play(light, night.seed)
     assert played.is_good(), (played.faults, played.breaks)
-    assert summarize(played).whole.served > 0.5
+    assert summarize(played).total.served > 0.5
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "rehearsals" / "found").glob("*.toml")), ids=lambda p: p.stem)
@@ -166,7 +166,7 @@
 
 def test_bytes_split_anywhere_change_no_outcome() -> None:
     night = play(script(network=Network(split=1.0)), 2)
-    assert night.is_good() and summarize(night).whole.served == 1.0
+    assert night.is_good() and summarize(night).total.served == 1.0
 
 
 def test_a_node_that_returns_under_its_name_meets_attempts_that_are_out() -> None:
@@ -183,7 +183,7 @@
     )
     night = play(script(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
     assert night.is_good(), (night.faults, night.breaks)
-    assert summarize(night).whole.served == 1.0
+    assert summarize(night).total.served == 1.0
 
 
 def test_a_restart_lets_callers_go_before_the_kill_however_long_their_deadlines_are() -> None:
@@ -204,14 +204,14 @@
         1,
     )
     assert night.is_good(), (night.faults, night.breaks)
-    assert summarize(night).whole.served > 0.9
+    assert summarize(night).total.served > 0.9
 
 
 def test_a_fleet_that_is_gone_refuses_and_ends() -> None:
     gone = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
     night = play(script(gone), 1)
     assert night.is_good(), (night.faults, night.breaks)
-    assert 0 < summarize(night).whole.served < 0.5
+    assert 0 < summarize(night).total.served < 0.5
 
 
 def test_balancers_that_never_get_ready_end_the_night(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -224,7 +224,7 @@
     rush = script(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
     night = play(msgspec.structs.replace(rush, length_s=2.0), 1)
     assert night.is_good(), (night.faults, night.breaks)
-    assert summarize(night).whole.refused > 0
+    assert summarize(night).total.refused > 0
 
 
 # ---- exploring
