--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -70,7 +70,7 @@
         row[f"{host}_served"] = round(figures.total.served, 4)
         row[f"{host}_in_time"] = round(figures.total.in_time, 4)
         row[f"{host}_p99_ms"] = round(figures.total.p99_ms)
-        row[f"{host}_breaks"] = sum(figures.breaks.values())
+        row[f"{host}_breaks"] = sum(figures.violations.values())
         row[f"{host}_faults"] = night.faults[:3]
         if night.breaks:
             row[f"{host}_first_break"] = night.breaks[0].text
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -119,7 +119,7 @@
             f"{figures.sent_after} of them were sent for 0.3 s later"
         )
     for rule, text in RULES.items():
-        broken = figures.breaks[rule]
+        broken = figures.violations[rule]
         console.print(f"  {text}: " + (f"[bold red]broken {broken} times[/]" if broken else "[green]kept[/]"))
     for fault in night.faults[:MOST_STORIES]:
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -25,7 +25,7 @@
 def write(night: Night) -> str:
     """The page."""
     figures = summarize(night)
-    broken = sum(figures.breaks.values())
+    broken = sum(figures.violations.values())
     verdict = (
         f'<span class="bad">{broken} broken rules, {figures.faults} faults</span>'
         if broken or figures.faults
@@ -141,8 +141,8 @@
 
 def _rules(night: Night, figures: Summary) -> str:
     rows = "".join(
-        f'<tr><td>{text}</td><td class="{"bad" if figures.breaks[rule] else "good"}">'
-        f"{figures.breaks[rule] or 'kept'}</td></tr>"
+        f'<tr><td>{text}</td><td class="{"bad" if figures.violations[rule] else "good"}">'
+        f"{figures.violations[rule] or 'kept'}</td></tr>"
         for rule, text in RULES.items()
     )
     stories = "".join(
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -67,7 +67,7 @@
     attempts: int
     attempts_each: float  # at all tiers, for one first try
     tries_each: float
-    breaks: dict[str, int]
+    violations: dict[str, int]
     faults: int
     left_waiting: int
     sent_after: int
@@ -89,7 +89,7 @@
             "attempts": self.attempts,
             "attempts_each": _rounded(self.attempts_each),
             "tries_each": _rounded(self.tries_each),
-            "rule_breaks": self.breaks,
+            "rule_breaks": self.violations,
             "faults": self.faults,
             "left_waiting": self.left_waiting,
             "sent_after": self.sent_after,
@@ -116,7 +116,7 @@
         attempts=night.attempts,
         attempts_each=night.attempts / each,
         tries_each=sum(j.tries for j in jobs) / each,
-        breaks={rule: counts[rule] for rule in RULES},
+        violations={rule: counts[rule] for rule in RULES},
         faults=len(night.faults),
         left_waiting=night.left_waiting,
         sent_after=night.sent_after,
