--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -4,7 +4,7 @@
 
 from html import escape
 
-from passpost.rehearsal.summary import COLUMN_TITLES, OUTCOMES, Row, Summary, by_second, summarize
+from passpost.rehearsal.summary import COLUMN_TITLES, OUTCOMES, Row, Summary, outcomes_by_second, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Night
 
@@ -89,7 +89,7 @@
 
 
 def _outcomes(night: Night) -> str:
-    seconds, height = by_second(night), 160
+    seconds, height = outcomes_by_second(night), 160
     most = max((sum(c.values()) for c in seconds), default=1) or 1
     bars = []
     for i, counts in enumerate(seconds):
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -146,7 +146,7 @@
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)] if ordered else 0.0
 
 
-def by_second(night: Night) -> list[Counter[str]]:
+def outcomes_by_second(night: Night) -> list[Counter[str]]:
     """Outcomes of first tries, by the second in which they were first sent."""
     seconds = [Counter[str]() for _ in range(int(night.ended - night.began) + 1)]
     for job in night.jobs:
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -19,7 +19,7 @@
 from passpost.rehearsal.model import Clients, Contract, Network, Scenario
 from passpost.rehearsal.report import write
 from passpost.rehearsal.script import dump, load, parse
-from passpost.rehearsal.summary import by_second, summarize
+from passpost.rehearsal.summary import outcomes_by_second, summarize
 from passpost.rehearsal.virtual import play
 from tests.rehearsal import nights
 from tests.rehearsal.nights import NIGHT_FAULTS, decisions, script
@@ -45,7 +45,7 @@
     assert night.is_good(), (night.faults, night.breaks)
     assert figures.total.served == 1.0 and figures.total.requests > 150
     assert figures.attempts_each == 2.0  # one at each tier
-    assert sum(sum(c.values()) for c in by_second(night)) == figures.total.requests
+    assert sum(sum(c.values()) for c in outcomes_by_second(night)) == figures.total.requests
 
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
