--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -79,7 +79,7 @@
     figures = summarize(night)
     if page is not None:
         try:
-            Path(page).write_text(report.write(night), encoding="utf-8")
+            Path(page).write_text(report.render_html(night), encoding="utf-8")
         except OSError as error:
             raise UnusableError(f"{page}: {error.strerror}") from None
     if as_json:
--- a/passpost/rehearsal/report.py
+++ b/passpost/rehearsal/report.py
@@ -22,7 +22,7 @@
 """
 
 
-def write(night: Night) -> str:
+def render_html(night: Night) -> str:
     """The page."""
     figures = summarize(night)
     broken = sum(figures.violations.values())
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -17,7 +17,7 @@
 from passpost.rehearsal import explore as exploring
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Clients, Contract, Network, Scenario
-from passpost.rehearsal.report import write
+from passpost.rehearsal.report import render_html
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.summary import outcomes_by_second, summarize
 from passpost.rehearsal.virtual import play
@@ -257,7 +257,7 @@
 def test_the_report_needs_nothing_else_and_shows_what_happened() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
     night, _ = decisions(script(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
-    page = write(night)
+    page = render_html(night)
     assert not re.search(r"(src|href)=|https?://|@import|url\(", page)
     assert "Fish &amp; &lt;chips&gt;" in page and "<chips>" not in page
     assert page.count("<svg") == 2 and "render-plain-1 drains" in page
@@ -265,7 +265,7 @@
 
 
 def test_the_report_of_a_calm_night_says_so() -> None:
-    page = write(play(script(), 1))
+    page = render_html(play(script(), 1))
     assert "all four rules kept" in page and "a calm night" in page
 
 
