--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from passpost.rehearsal import live, virtual
-from passpost.rehearsal.model import Class, Clients, Kind, Scenario, Tier
+from passpost.rehearsal.model import Class, Clients, NodeKind, Scenario, Tier
 from passpost.rehearsal.script import load
 from passpost.rehearsal.summary import summarize
 
@@ -36,7 +36,7 @@
         length_s=seconds,
         clients=Clients(rate_per_s=rate, processes=2 * balancers),
         classes=(Class(name="read", work_ms=work, aim_ms=work * 10, deadline_ms=work * 30),),
-        tiers=(Tier(name="render", balancers=balancers, kinds=(Kind(name="plain", count=nodes),)),),
+        tiers=(Tier(name="render", balancers=balancers, kinds=(NodeKind(name="plain", count=nodes),)),),
     )
 
 
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -22,7 +22,7 @@
     Discovery,
     Drain,
     Event,
-    Kind,
+    NodeKind,
     Reload,
     Scenario,
     Tier,
@@ -32,7 +32,7 @@
 
 def night(balancers: int, calls_per_s: float) -> Scenario:
     """The script."""
-    kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
+    kinds = (NodeKind(name="fast", count=24, cores=2, speed=2.0), NodeKind(name="plain", count=24, cores=2))
     events: list[Event] = [Reload(at_s=3 + 2 * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)]
     for i in range(6):
         leaving = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
--- a/passpost/rehearsal/machine.py
+++ b/passpost/rehearsal/machine.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from passpost.rehearsal.model import Contract, Kind
+from passpost.rehearsal.model import Contract, NodeKind
 
 COLD_STEP_S = 0.05  # a cold node's speed is taken as even for so long
 CROWD_OVER_S = 2.0  # crowding is judged by the mean over this
@@ -34,7 +34,7 @@
 class Machine:
     """One node's cores and queue. `advance` first, then ask: all other calls take that moment as now."""
 
-    def __init__(self, kind: Kind, contract: Contract, now: float, cold: bool) -> None:
+    def __init__(self, kind: NodeKind, contract: Contract, now: float, cold: bool) -> None:
         self.kind, self._contract = kind, contract
         self.now, self.started = now, now if cold else -math.inf
         self.slower = 1.0  # by faults
--- a/passpost/rehearsal/model.py
+++ b/passpost/rehearsal/model.py
@@ -87,7 +87,7 @@
     quota_per_s: Annotated[float, Meta(gt=0)] = 1e9
 
 
-class Kind(_Part, frozen=True, kw_only=True):
+class NodeKind(_Part, frozen=True, kw_only=True):
     """Nodes of one make."""
 
     name: Name
@@ -113,7 +113,7 @@
     has a balancer of its own for its calls there."""
 
     name: Name
-    kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)]
+    kinds: Annotated[tuple[NodeKind, ...], Meta(min_length=1)]
     balancers: Annotated[int, Meta(ge=1, le=10_000)] = 1  # first tier only
     part: Annotated[float, Meta(gt=0, le=1)] = 1.0  # of a request's work done here
     calls: tuple[Annotated[int, Meta(ge=0, le=20)], Annotated[int, Meta(ge=0, le=20)]] = (
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -11,7 +11,7 @@
 from passpost.host import Address
 from passpost.rehearsal.http import Pool, Request, RequestConnection, Result, write_request
 from passpost.rehearsal.machine import Job, Machine
-from passpost.rehearsal.model import Class, Contract, Kind, Tier
+from passpost.rehearsal.model import Class, Contract, NodeKind, Tier
 from passpost.rehearsal.speech import Asked, Speech
 from passpost.rehearsal.stage import Stage, listen
 from passpost.rehearsal.watch import InvariantChecker
@@ -113,7 +113,7 @@
         watch: InvariantChecker,
         name: str,
         tier: Tier,
-        kind: Kind,
+        kind: NodeKind,
         contract: Contract,
         classes: dict[str, Class],
         effects: Effects,
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Scenario, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, NodeKind, Scenario, Tier
 from passpost.rehearsal.world import Night
 
 LENGTH_S = 6.0
@@ -31,7 +31,9 @@
     Class(name="pay", work_ms=20, aim_ms=400, deadline_ms=1_000, effect="unsafe"),
 )
 NODES = Tier(
-    name="render", balancers=2, kinds=(Kind(name="fast", count=2, speed=2.0), Kind(name="plain", count=3))
+    name="render",
+    balancers=2,
+    kinds=(NodeKind(name="fast", count=2, speed=2.0), NodeKind(name="plain", count=3)),
 )
 
 
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -16,7 +16,7 @@
 from passpost.operator.model import Discovered, File
 from passpost.rehearsal import carried, model, platform_file
 from passpost.rehearsal.clients import Clients, Job
-from passpost.rehearsal.model import Kind, Scenario, Tier
+from passpost.rehearsal.model import NodeKind, Scenario, Tier
 from passpost.rehearsal.nodes import Effects, Node
 from passpost.rehearsal.registry import Entry, Registry
 from passpost.rehearsal.speech import Speech
@@ -66,7 +66,7 @@
     """A node's place in the fleet: who stands there, and its addresses, which outlive it."""
 
     tier: Tier
-    kind: Kind
+    kind: NodeKind
     number: int
     node: Node | None = None
     name: str = ""
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Scenario, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, NodeKind, Scenario, Tier
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Night
 from umberworks import interface
@@ -22,7 +22,7 @@
 
 def script(*events: Event, tiers: int = 1, **changes: Any) -> Scenario:
     """A small night of five seconds."""
-    kinds = (Kind(name="fast", count=1, speed=2.0), Kind(name="plain", count=3))
+    kinds = (NodeKind(name="fast", count=1, speed=2.0), NodeKind(name="plain", count=3))
     last = Tier(name="render", kinds=kinds, balancers=1 if tiers > 1 else 2, part=0.5 if tiers > 1 else 1.0)
     first = Tier(name="front", kinds=kinds, balancers=2, part=0.5)
     base: dict[str, Any] = {
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -16,7 +16,7 @@
 from passpost.operator.reader import UnreadableError, parse
 from passpost.rehearsal import carried, live, model
 from passpost.rehearsal.carried import MismatchError
-from passpost.rehearsal.model import Class, Clients, Contract, Kind, Scenario, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, NodeKind, Scenario, Tier
 from passpost.rehearsal.script import ScenarioError, dump, load
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
@@ -45,7 +45,7 @@
 def script(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Scenario:
     """A short night of the file's first application, all its classes alike."""
     application = file.applications[0]
-    kinds = (Kind(name="plain", count=4),)
+    kinds = (NodeKind(name="plain", count=4),)
     first = Tier(name="render", kinds=kinds, balancers=min(application.balancers, 2))
     last = Tier(name="store", kinds=kinds, part=0.5)
     base: dict[str, Any] = {
@@ -168,7 +168,7 @@
         ),
         ({"contract": Contract(cold_ms=4.0)}, "contract.cold_ms: the operator's file says"),
         (
-            {"tiers": (Tier(name="render", kinds=(Kind(name="plain"),), balancers=3),)},
+            {"tiers": (Tier(name="render", kinds=(NodeKind(name="plain"),), balancers=3),)},
             r"tiers\[0\].balancers: 3 sidecars, and the file counts on 1",
         ),
     ],
--- a/tests/rehearsal/test_machine.py
+++ b/tests/rehearsal/test_machine.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from passpost.rehearsal.machine import Job, Machine
-from passpost.rehearsal.model import Contract, Kind
+from passpost.rehearsal.model import Contract, NodeKind
 
 
 def machine(cold: bool = False, now: float = 0.0, **changes: Any) -> Machine:
     base: dict[str, Any] = {"name": "k", "cores": 2, "speed": 1.0, "slots": 4, "queue": 2}
     contract = Contract(cold_ms=10_000, cold_from=0.2, overload_factor=3.0, overload_ms=1_000)
-    return Machine(Kind(**(base | changes)), contract, now, cold)
+    return Machine(NodeKind(**(base | changes)), contract, now, cold)
 
 
 def run(node: Machine, until: float) -> list[tuple[float, int]]:
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -13,9 +13,9 @@
     Discovery,
     Drain,
     Event,
-    Kind,
     ListDown,
     Network,
+    NodeKind,
     Pause,
     Reload,
     Scenario,
@@ -38,7 +38,7 @@
     latency_ms: float = 0.3,
 ) -> Scenario:
     """All are moved within so many seconds; a twelfth of the nodes leaves every second and a half, some for good."""
-    kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
+    kinds = (NodeKind(name="fast", count=24, cores=2, speed=2.0), NodeKind(name="plain", count=24, cores=2))
     events: list[Event] = [
         Reload(at_s=3.0 + within_s * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)
     ]
