--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -1,16 +1,19 @@
-"""Watches the four rules from outside: it sees what clients send and get, what nodes get and answer, and what
-the list has told. No I/O, and nothing of the balancer's own state.
-
-1. No request is lost: what a running balancer has taken gets one whole answer in time, made for it by a node,
-   and nothing is sent for it afterwards.
-2. No effect twice: an unsafe request runs once at the most, and is not refused once it may have run; a keyed
-   one is not sent again past its key's window.
-3. Drains are kept: nothing new to a node later than the grace after its drain was told.
-4. No cold node is pushed over by balancers that were told that it had started.
-5. Nothing is sent for who has left: of the requests whose clients left while nothing was out for them a
-   quarter at the most is sent on LEFT_S later.
-
-Times are seconds of the night. A send counts from when it was written, so that a slow network breaks no rule.
+"""Checks the simulator's invariants from outside the balancers under test. No I/O.
+
+The checker is notified of what clients send and receive, what nodes receive and answer, and what the server
+list has announced. It never reads a balancer's own state. `RULES` names the five invariants:
+
+1. lost: a request that a running balancer has accepted gets one whole response in time, produced for it by a
+   node, and nothing is sent for it afterwards.
+2. twice: an unsafe request runs at most once, and is not refused once it may have run; a keyed request is not
+   sent again after its key's window.
+3. drain: a node gets nothing new later than the grace period after the balancer was notified of its drain.
+4. cold: no cold node is overloaded mainly by balancers that were notified of its start.
+5. left: of the requests whose clients left while no attempt was out for them, at most a quarter are sent to a
+   node `ABANDONED_SEND_DELAY_S` later or after that.
+
+Times are seconds of the run. A send counts from when it was written, so that a slow network violates no
+invariant.
 """
 
 from __future__ import annotations
@@ -21,11 +24,14 @@
 
 from passpost.rehearsal.model import Class, Contract
 
-SLACK_S = 0.05  # every time limit is so much longer, as clocks and loops are coarse
-KEEP_S = 20.0  # a request that is over is remembered for so long, for its timeline and for late sends
-TOLD_PART = 2 / 3  # of the pressure on a cold node must come from balancers that knew
+SLACK_S = 0.05  # added to every time limit, because clocks and event loops are coarse
+RETENTION_S = 20.0  # how long a finished request is kept, for its timeline and to recognise late sends
+INFORMED_SHARE = (
+    2 / 3
+)  # least share of the load on an overloaded cold node from balancers that knew of its start
 
-LEFT_S, LEFT_SHARE, LEFT_FEW = 0.3, 0.25, 4  # of up to so few cases a share tells nothing
+# The share is not checked for up to ABANDONED_IGNORED_CASES requests: it means nothing in so few.
+ABANDONED_SEND_DELAY_S, MAX_ABANDONED_SEND_SHARE, ABANDONED_IGNORED_CASES = 0.3, 0.25, 4
 
 RULES = {
     "lost": "no request is lost",
@@ -38,7 +44,7 @@
 
 @dataclass(slots=True)
 class Violation:
-    """One broken rule with the request's timeline."""
+    """A violated invariant; `rule` is a key of RULES, `timeline` all recorded events of the request."""
 
     rule: str
     at: float
@@ -47,228 +53,255 @@
 
 
 @dataclass(slots=True)
-class _Seen:
+class _RequestRecord:
     """What is known of one request id."""
 
-    cls: Class
+    request_class: Class
     balancer: str
-    parent: str
+    parent: str  # id of the request that this one is a call of; empty for a client's request
     timeline: list[tuple[float, str]]
-    taken: float = 0.0
-    due: float = 0.0
-    answered: float | None = None
-    given_up: bool = False  # the client has gone; the balancer may hear of it late
-    left: float | None = None  # when it went, if it was waiting for nothing that was out
-    ran: dict[int, float] = field(
+    sent_at: float = 0.0
+    due_at: float = 0.0
+    responded_at: float | None = None
+    excused: bool = False  # no response is owed any more; the balancer may learn of the reason late
+    left_at: float | None = None  # when the client left, if no attempt was out then
+    possible_runs: dict[int, float] = field(
         default_factory=dict
-    )  # attempts that may have run, and when they were written
+    )  # numbers of the attempts that may have run, and when they were written
     attempts: int = 0
-    bodies: set[bytes] = field(default_factory=set)
+    response_bodies: set[bytes] = field(default_factory=set)
 
 
 class InvariantChecker:
-    """Told of everything; `violations` grows with each broken rule."""
+    """Collects a violation in `violations` whenever a reported event violates an invariant."""
 
     def __init__(self, contract: Contract) -> None:
         self._contract = contract
         self.violations: list[Violation] = []
         self.attempts = 0
         self.sink: Callable[[str], None] | None = (
-            None  # a line for each attempt and refusal, seen from outside
+            None  # gets a line for each attempt and refusal, as observed from outside
         )
         self.left_waiting, self.sent_after = (
             0,
             0,
-        )  # clients that left so, and those of them that were sent for
-        self._seen: dict[str, _Seen] = {}
-        self._over: deque[tuple[float, str]] = deque()
-        self._drained: dict[tuple[str, str], float] = {}  # (balancer, node): when its drain was told
-        self._knows: set[tuple[str, str, float]] = set()  # (balancer, node, start): told that it has started
+        )  # clients that left while no attempt was out, and how many of their requests were sent later
+        self._records: dict[str, _RequestRecord] = {}  # by request id
+        self._finished: deque[tuple[float, str]] = deque()  # (time, request id), oldest first
+        self._drain_notified_at: dict[tuple[str, str], float] = {}  # by (balancer, node)
+        self._start_notified: set[tuple[str, str, float]] = set()  # (balancer, node, time of its start)
 
-    # ---- the callers' side
+    # ---- events at clients
 
     def request_sent(
-        self, now: float, txn: str, cls: Class, balancer: str, due: float, parent: str = ""
+        self, now: float, txn: str, request_class: Class, balancer: str, due_at: float, parent: str = ""
     ) -> None:
-        """A request's last byte is written to a balancer, which owes the answer by `due`."""
-        seen = self._seen.get(txn)
-        if seen is None:
-            seen = self._seen[txn] = _Seen(cls, balancer, parent, [])
-        seen.taken, seen.due = now, due
-        seen.timeline.append((now, f"{txn} ({cls.name}, {cls.effect}) sent to {balancer}, due {due:.3f}"))
-        self._forget(now)
+        """A request's last byte was written to a balancer, which owes the response by `due_at`."""
+        record = self._records.get(txn)
+        if record is None:
+            record = self._records[txn] = _RequestRecord(request_class, balancer, parent, [])
+        record.sent_at, record.due_at = now, due_at
+        record.timeline.append(
+            (
+                now,
+                f"{txn} ({request_class.name}, {request_class.effect}) sent to {balancer}, due {due_at:.3f}",
+            )
+        )
+        self._expire_finished(now)
 
     def response_served(self, now: float, txn: str, body: bytes) -> None:
-        """The whole answer 200 is there."""
-        seen = self._answer(now, txn, "served")
-        if seen is not None and body not in seen.bodies:
-            self._break("lost", now, f"{txn} was served with an answer that no node made for it", txn)
+        """A whole response with status 200 arrived."""
+        record = self._record_response(now, txn, "served")
+        if record is not None and body not in record.response_bodies:
+            self._add_violation("lost", now, f"{txn} was served with an answer that no node made for it", txn)
 
     def response_refused(self, now: float, txn: str) -> None:
-        """The answer 429 or 503 is there: trying again is harmless."""
-        seen = self._answer(now, txn, "refused")
-        if self.sink is not None and seen is not None:
-            self.sink(f"{now:.6f} {seen.balancer} {txn} refuse -")
-        if seen is not None and seen.cls.effect == "unsafe" and seen.ran:
-            self._break("twice", now, f"{txn} is unsafe, may have run, and was refused", txn)
+        """A response with status 429 or 503 arrived, which promises that a retry is harmless."""
+        record = self._record_response(now, txn, "refused")
+        if self.sink is not None and record is not None:
+            self.sink(f"{now:.6f} {record.balancer} {txn} refuse -")
+        if record is not None and record.request_class.effect == "unsafe" and record.possible_runs:
+            self._add_violation("twice", now, f"{txn} is unsafe, may have run, and was refused", txn)
 
     def response_failed(self, now: float, txn: str, status: int) -> None:
-        """Any other answer."""
-        self._answer(now, txn, f"failed with {status}")
+        """A response with any other status arrived."""
+        self._record_response(now, txn, f"failed with {status}")
 
     def response_lost(self, now: float, txn: str, why: str) -> None:
-        """It ended without an answer, and its balancer runs: nothing excuses that."""
-        if self._answer(now, txn, why) is not None:
-            self._break("lost", now, f"{txn}: {why}", txn)
+        """The request ended without a response although its balancer runs, so nothing excuses it."""
+        if self._record_response(now, txn, why) is not None:
+            self._add_violation("lost", now, f"{txn}: {why}", txn)
 
     def response_excused(self, now: float, txn: str, why: str) -> None:
-        """It ended without an answer for a reason that is not the balancer's; it may not know that."""
-        seen = self._seen.get(txn)
-        if seen is not None:
-            seen.timeline.append((now, f"{txn} {why}"))
-            seen.given_up = True
-            self._over.append((now, txn))
+        """The request ended without a response for a reason outside the balancer, which may not know of it."""
+        record = self._records.get(txn)
+        if record is not None:
+            record.timeline.append((now, f"{txn} {why}"))
+            record.excused = True
+            self._finished.append((now, txn))
 
     def client_left(self, now: float, txn: str) -> None:
-        """The client has hung up before its time was over."""
+        """The client closed its connection before its time limit."""
         self.response_excused(now, txn, "left by its client")
-        seen = self._seen.get(txn)
-        if seen is not None and not seen.ran:
-            seen.left = now
+        record = self._records.get(txn)
+        if record is not None and not record.possible_runs:
+            record.left_at = now
             self.left_waiting += 1
 
     def run_ended(self, now: float) -> None:
-        """The night is over: what only its whole can tell."""
-        if self.left_waiting > LEFT_FEW and self.sent_after > LEFT_SHARE * self.left_waiting:
+        """The run has ended: checks the invariant that needs the counts of the whole run."""
+        if (
+            self.left_waiting > ABANDONED_IGNORED_CASES
+            and self.sent_after > MAX_ABANDONED_SEND_SHARE * self.left_waiting
+        ):
             text = (
                 f"of {self.left_waiting} clients that left while they waited {self.sent_after} were sent for"
             )
-            self._break("left", now, f"{text} {LEFT_S} s later or after that", "")
+            self._add_violation("left", now, f"{text} {ABANDONED_SEND_DELAY_S} s later or after that", "")
 
-    def _answer(self, now: float, txn: str, what: str) -> _Seen | None:
-        seen = self._seen.get(txn)
-        if seen is None:
+    def _record_response(self, now: float, txn: str, what: str) -> _RequestRecord | None:
+        record = self._records.get(txn)
+        if record is None:
             return None
-        seen.timeline.append((now, f"{txn} {what}"))
-        if seen.answered is not None:
-            self._break("lost", now, f"{txn} got a second answer", txn)
-        seen.answered = now
-        self._over.append((now, txn))
-        return seen
+        record.timeline.append((now, f"{txn} {what}"))
+        if record.responded_at is not None:
+            self._add_violation("lost", now, f"{txn} got a second answer", txn)
+        record.responded_at = now
+        self._finished.append((now, txn))
+        return record
 
-    # ---- the nodes' side
+    # ---- events at nodes
 
     def attempt_received(
-        self, begun: float, written: float, now: float, txn: str, node: str, balancer: str
+        self, begun_at: float, written_at: float, now: float, txn: str, node: str, balancer: str
     ) -> int:
-        """An attempt's last byte has come to a node; its first was written at `begun`, its last at `written`.
+        """An attempt's last byte arrived at a node.
 
-        The result is its number for `turned_away`.
+        The balancer wrote the first byte at `begun_at` and the last at `written_at`. Returns the attempt's
+        number for `attempt_turned_away`.
         """
         self.attempts += 1
         if self.sink is not None:
             self.sink(f"{now:.6f} {balancer} {txn} send {node}")
-        seen = self._seen.get(txn)
-        if seen is not None:
-            seen.attempts += 1
-            seen.timeline.append((now, f"{txn} attempt {seen.attempts} at {node}, written {begun:.3f}"))
-        told = self._drained.get((balancer, node))
-        if told is not None and begun > told + self._contract.drain_grace_ms / 1000 + SLACK_S:
-            text = f"{balancer} sent {txn} to {node} {begun - told:.3f} s after it was told of its drain"
-            self._break("drain", now, text, txn)
-        if seen is None:
-            self._break("lost", now, f"{node} got {txn}, which no client has sent lately", txn)
+        record = self._records.get(txn)
+        if record is not None:
+            record.attempts += 1
+            record.timeline.append(
+                (now, f"{txn} attempt {record.attempts} at {node}, written {begun_at:.3f}")
+            )
+        notified_at = self._drain_notified_at.get((balancer, node))
+        if (
+            notified_at is not None
+            and begun_at > notified_at + self._contract.drain_grace_ms / 1000 + SLACK_S
+        ):
+            text = f"{balancer} sent {txn} to {node} {begun_at - notified_at:.3f} s after it was told of its drain"
+            self._add_violation("drain", now, text, txn)
+        if record is None:
+            self._add_violation("lost", now, f"{node} got {txn}, which no client has sent lately", txn)
             return 0
-        if seen.answered is not None and begun > seen.answered + SLACK_S:
-            self._break("lost", now, f"{txn} was sent to {node} after its final answer", txn)
-        if seen.left is not None and begun >= seen.left + LEFT_S:
+        if record.responded_at is not None and begun_at > record.responded_at + SLACK_S:
+            self._add_violation("lost", now, f"{txn} was sent to {node} after its final answer", txn)
+        if record.left_at is not None and begun_at >= record.left_at + ABANDONED_SEND_DELAY_S:
             self.sent_after += 1
-            seen.left = None  # counted once
-        if seen.ran and seen.cls.effect == "unsafe":
-            self._break(
+            record.left_at = None  # so that the request counts once
+        if record.possible_runs and record.request_class.effect == "unsafe":
+            self._add_violation(
                 "twice", now, f"{txn} is unsafe and was sent again to {node} though it may have run", txn
             )
-        if seen.ran and seen.cls.effect == "keyed":
-            late = begun - min(seen.ran.values())
-            if late > seen.cls.window_ms / 1000 + SLACK_S:
-                text = f"{txn} was sent again {late:.3f} s after its first send, past its key's window"
-                self._break("twice", now, text, txn)
-        seen.ran[seen.attempts] = written
-        return seen.attempts
+        if record.possible_runs and record.request_class.effect == "keyed":
+            late_s = begun_at - min(record.possible_runs.values())
+            if late_s > record.request_class.window_ms / 1000 + SLACK_S:
+                text = f"{txn} was sent again {late_s:.3f} s after its first send, past its key's window"
+                self._add_violation("twice", now, text, txn)
+        record.possible_runs[record.attempts] = written_at
+        return record.attempts
 
     def attempt_turned_away(self, now: float, txn: str, node: str, number: int) -> None:
-        """An attempt never ran."""
-        seen = self._seen.get(txn)
-        if seen is not None:
-            seen.timeline.append((now, f"{txn} turned away by {node}"))
-            seen.ran.pop(number, None)
+        """A node turned an attempt away, so that it never ran."""
+        record = self._records.get(txn)
+        if record is not None:
+            record.timeline.append((now, f"{txn} turned away by {node}"))
+            record.possible_runs.pop(number, None)
 
     def node_responded(self, now: float, txn: str, node: str, body: bytes) -> None:
-        """A node answers 200 with this body."""
-        seen = self._seen.get(txn)
-        if seen is not None:
-            seen.bodies.add(body)
-            seen.timeline.append((now, f"{txn} answered by {node}"))
+        """A node responded with status 200 and this body."""
+        record = self._records.get(txn)
+        if record is not None:
+            record.response_bodies.add(body)
+            record.timeline.append((now, f"{txn} answered by {node}"))
 
     def add_note(self, now: float, txn: str, text: str) -> None:
-        """Something that belongs to a request's timeline."""
-        seen = self._seen.get(txn)
-        if seen is not None:
-            seen.timeline.append((now, f"{txn} {text}"))
-
-    def node_overloaded(self, now: float, node: str, started: float, pressure: dict[str, float]) -> None:
-        """A cold node fell over; `pressure` is the work that did it, by balancer."""
-        whole = sum(pressure.values())
-        told = sum(v for k, v in pressure.items() if (k, node, started) in self._knows)
-        text = f"{node}, started {now - started:.1f} s before, fell over; {told / max(whole, 1e-9):.0%} of it"
-        if told >= TOLD_PART * whole:
-            self._break("cold", now, f"{text} sent by balancers that knew: {_shares(pressure)}", "")
-
-    # ---- the list
-
-    def list_notified(self, now: float, balancer: str, node: str, serves: bool, started: float) -> None:
-        """The list has told a balancer of a node: that it serves (since `started`), or leaves or is gone."""
+        """Adds a line to the request's timeline."""
+        record = self._records.get(txn)
+        if record is not None:
+            record.timeline.append((now, f"{txn} {text}"))
+
+    def node_overloaded(
+        self, now: float, node: str, started_at: float, work_by_balancer: dict[str, float]
+    ) -> None:
+        """A cold node was overloaded by `work_by_balancer`.
+
+        This is a violation if `INFORMED_SHARE` of the work or more came from balancers that had been notified of
+        this start of the node.
+        """
+        total = sum(work_by_balancer.values())
+        informed = sum(
+            v for k, v in work_by_balancer.items() if (k, node, started_at) in self._start_notified
+        )
+        text = f"{node}, started {now - started_at:.1f} s before, fell over; {informed / max(total, 1e-9):.0%} of it"
+        if informed >= INFORMED_SHARE * total:
+            self._add_violation(
+                "cold", now, f"{text} sent by balancers that knew: {_format_shares(work_by_balancer)}", ""
+            )
+
+    # ---- notifications by the server list
+
+    def list_notified(self, now: float, balancer: str, node: str, serves: bool, started_at: float) -> None:
+        """The server list notified a balancer that a node serves since `started_at`, or is draining or gone."""
         if serves:
-            self._drained.pop((balancer, node), None)
-            self._knows.add((balancer, node, started))
+            self._drain_notified_at.pop((balancer, node), None)
+            self._start_notified.add((balancer, node, started_at))
         else:
-            self._drained.setdefault((balancer, node), now)
+            self._drain_notified_at.setdefault((balancer, node), now)
 
-    def balancer_resumed(self, now: float, balancer: str, slept_from: float) -> None:
-        """A balancer that stood still goes on: what it was told meanwhile it can only read now."""
-        for pair, told in self._drained.items():
-            if pair[0] == balancer and told > slept_from - SLACK_S:
-                self._drained[pair] = now
+    def balancer_resumed(self, now: float, balancer: str, paused_at: float) -> None:
+        """A paused balancer runs again: notifications sent during the pause count from now on."""
+        for pair, notified_at in self._drain_notified_at.items():
+            if pair[0] == balancer and notified_at > paused_at - SLACK_S:
+                self._drain_notified_at[pair] = now
 
     def forget_balancer(self, balancer: str) -> None:
-        """It has died; one of the same name starts from nothing."""
-        self._drained = {k: v for k, v in self._drained.items() if k[0] != balancer}
-        self._knows = {k for k in self._knows if k[0] != balancer}
+        """The balancer's process has died; a new one of the same name starts without any notification."""
+        self._drain_notified_at = {k: v for k, v in self._drain_notified_at.items() if k[0] != balancer}
+        self._start_notified = {k for k in self._start_notified if k[0] != balancer}
 
-    # ---- the end
+    # ---- results
 
     def unanswered_requests(self) -> list[str]:
-        """Requests that are still open."""
-        return [txn for txn, seen in self._seen.items() if seen.answered is None and not seen.given_up]
+        """The ids of requests without a response whose end is not excused."""
+        return [
+            txn for txn, record in self._records.items() if record.responded_at is None and not record.excused
+        ]
 
-    def _forget(self, now: float) -> None:
-        while self._over and self._over[0][0] < now - KEEP_S:
-            self._seen.pop(self._over.popleft()[1], None)
+    def _expire_finished(self, now: float) -> None:
+        while self._finished and self._finished[0][0] < now - RETENTION_S:
+            self._records.pop(self._finished.popleft()[1], None)
 
-    def _break(self, rule: str, now: float, text: str, txn: str) -> None:
+    def _add_violation(self, rule: str, now: float, text: str, txn: str) -> None:
         self.violations.append(Violation(rule, now, text, self.timeline(txn)))
 
     def timeline(self, txn: str) -> list[str]:
-        """All that is known of a request and of those that it is a part of, in order of time."""
+        """All recorded events of a request and of the requests that it is a call of, in order of time."""
         lines: list[tuple[float, str]] = []
-        seen = self._seen.get(txn)
-        while seen is not None:
-            lines += seen.timeline
-            seen = self._seen.get(seen.parent)
+        record = self._records.get(txn)
+        while record is not None:
+            lines += record.timeline
+            record = self._records.get(record.parent)
         return [f"{at:9.3f}  {text}" for at, text in sorted(lines, key=lambda line: line[0])]
 
 
-def _shares(pressure: dict[str, float]) -> str:
-    whole = sum(pressure.values()) or 1.0
-    ranked = sorted(pressure.items(), key=lambda item: -item[1])[:4]
-    return ", ".join(f"{name} {work / whole:.0%}" for name, work in ranked)
+def _format_shares(work_by_balancer: dict[str, float]) -> str:
+    """The four largest shares of the work, with the names of their balancers."""
+    total = sum(work_by_balancer.values()) or 1.0
+    ranked = sorted(work_by_balancer.items(), key=lambda item: -item[1])[:4]
+    return ", ".join(f"{name} {work / total:.0%}" for name, work in ranked)
--- a/tests/rehearsal/test_watch.py
+++ b/tests/rehearsal/test_watch.py
@@ -167,7 +167,7 @@
     for i in range(2_000):
         w.request_sent(float(i), f"t{i}", FRAME, "b1", i + 1.0)
         serve(w, f"t{i}", i + 0.1)
-    assert broken(w) == [] and len(w._seen) < 50
+    assert broken(w) == [] and len(w._records) < 50
 
 
 def test_a_quarter_of_those_who_left_while_they_waited_may_be_sent_for_late_and_no_more() -> None:
