--- a/passpost/rehearsal/model.py
+++ b/passpost/rehearsal/model.py
@@ -20,11 +20,11 @@
 Patterns = Annotated[tuple[Annotated[str, Meta(min_length=1, max_length=80)], ...], Meta(min_length=1)]
 
 
-class _Part(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class _Table(Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """What all parts of a script share: unknown keys are refused."""
 
 
-class Network(_Part, frozen=True):
+class Network(_Table, frozen=True):
     """The wires between all machines (virtual nights; live ones have the machine's own loopback)."""
 
     latency_ms: Wait = 0.3  # one way
@@ -32,7 +32,7 @@
     split: Share = 0.02  # of reads get a part of what lies there
 
 
-class Discovery(_Part, frozen=True):
+class Discovery(_Table, frozen=True):
     """The list of nodes as balancers get it."""
 
     mode: Literal["ask", "push"] = "ask"
@@ -40,7 +40,7 @@
     calls_per_s: Annotated[float, Meta(gt=0, le=100_000)] = 50.0  # asked: one service, calls in turn
 
 
-class Contract(_Part, frozen=True):
+class Contract(_Table, frozen=True):
     """What the four rules say in figures; balancers are told the same."""
 
     drain_grace_ms: Wait = 1_000.0
@@ -57,14 +57,14 @@
     sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1_024
 
 
-class Sidecar(_Part, frozen=True, kw_only=True):
+class Sidecar(_Table, frozen=True, kw_only=True):
     """The first tier's balancers are sidecars that run an operator's file."""
 
     file: Annotated[str, Meta(min_length=1, max_length=4_000)]  # beside the script, where it is no whole path
     application: Name  # the one that is called
 
 
-class Class(_Part, frozen=True, kw_only=True):
+class Class(_Table, frozen=True, kw_only=True):
     """One class of requests. With a sidecar its file says what it waits for and what may be repeated."""
 
     name: Name
@@ -79,7 +79,7 @@
     late_share: Share = 0.3  # of its worth, answered past the aim and before the deadline
 
 
-class Tenant(_Part, frozen=True, kw_only=True):
+class Tenant(_Table, frozen=True, kw_only=True):
     """One customer: what it sends, and what it may."""
 
     name: Name
@@ -87,7 +87,7 @@
     quota_per_s: Annotated[float, Meta(gt=0)] = 1e9
 
 
-class NodeKind(_Part, frozen=True, kw_only=True):
+class NodeKind(_Table, frozen=True, kw_only=True):
     """Nodes of one make."""
 
     name: Name
@@ -108,7 +108,7 @@
     crowd_factor: Annotated[float, Meta(ge=1, le=100)] = 2.5  # and it is so much slower, until it was idle
 
 
-class Tier(_Part, frozen=True, kw_only=True):
+class Tier(_Table, frozen=True, kw_only=True):
     """One tier of nodes. The first tier's balancers stand by themselves; each node of a tier before another
     has a balancer of its own for its calls there."""
 
@@ -122,7 +122,7 @@
     )  # to the next tier
 
 
-class Clients(_Part, frozen=True):
+class Clients(_Table, frozen=True):
     """Who sends requests."""
 
     rate_per_s: Annotated[float, Meta(gt=0, le=1_000_000)] = 50.0
@@ -136,7 +136,7 @@
     notice_s: Moment = 1.0  # after which the front leaves out a balancer that died
 
 
-class _Event(_Part, frozen=True, tag_field="kind"):
+class _Event(_Table, frozen=True, tag_field="kind"):
     """Something happens at `at_s`."""
 
     at_s: Moment
@@ -263,7 +263,7 @@
 Event = NodeFault | ListDown | SharedSlow | Partition | Stop | Reload | Kill | Clock | Rush
 
 
-class Scenario(_Part, frozen=True, kw_only=True):
+class Scenario(_Table, frozen=True, kw_only=True):
     """A whole night."""
 
     version: Literal[1]
