--- a/passpost/rehearsal/watch.py
+++ b/passpost/rehearsal/watch.py
@@ -65,9 +65,8 @@
     responded_at: float | None = None
     excused: bool = False  # no response is owed any more; the balancer may learn of the reason late
     left_at: float | None = None  # when the client left, if no attempt was out then
-    possible_runs: dict[int, float] = field(
-        default_factory=dict
-    )  # numbers of the attempts that may have run, and when they were written
+    # When the attempts that may have run were written, by their number.
+    possible_runs: dict[int, float] = field(default_factory=dict)
     attempts: int = 0
     response_bodies: set[bytes] = field(default_factory=set)
 
@@ -79,13 +78,10 @@
         self._contract = contract
         self.violations: list[Violation] = []
         self.attempts = 0
-        self.sink: Callable[[str], None] | None = (
-            None  # gets a line for each attempt and refusal, as observed from outside
-        )
-        self.left_waiting, self.sent_after = (
-            0,
-            0,
-        )  # clients that left while no attempt was out, and how many of their requests were sent later
+        # Gets a line for each attempt and refusal, as observed from outside.
+        self.sink: Callable[[str], None] | None = None
+        # Clients that left while no attempt was out, and how many of their requests were sent later.
+        self.left_waiting, self.sent_after = 0, 0
         self._records: dict[str, _RequestRecord] = {}  # by request id
         self._finished: deque[tuple[float, str]] = deque()  # (time, request id), oldest first
         self._drain_notified_at: dict[tuple[str, str], float] = {}  # by (balancer, node)
