--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -60,10 +60,10 @@
     except OSError as error:
         raise UnusableError(f"{path}: {error.strerror}") from None
     if as_json:
-        result = {"played": played, "found": {"seed": found.seed, "what": found.what, "script": str(path)}}
+        result = {"played": played, "found": {"seed": found.seed, "what": found.problem, "script": str(path)}}
         click.echo(json.dumps(result))
     else:
-        click.echo(f"seed {found.seed}, after {played} nights: {found.what}")
+        click.echo(f"seed {found.seed}, after {played} nights: {found.problem}")
         click.echo(
             f"shrunk to {len(found.scenario.events)} failures (of {found.drawn_events}); replay it with:"
         )
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -25,7 +25,7 @@
     """A run that violated an invariant or had a fault of the program, shrunk; `scenario` replays it."""
 
     seed: int
-    what: str
+    problem: str
     scenario: Scenario
     drawn_events: int  # number of events before the scenario was shrunk
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -237,7 +237,7 @@
     )
     found, played = exploring.explore(base, range(1, 4), 1, 2, module=nights.IgnoresDrains)
     assert found is not None and played == 1
-    assert found.what.startswith("drain: ")
+    assert found.problem.startswith("drain: ")
     assert [type(e) for e in found.scenario.events] == [model.Drain] and found.drawn_events >= 3
     again = parse(dump(found.scenario), "found.toml")
     assert rules(play(again, again.seed, module=nights.IgnoresDrains)) == {"drain"}
