--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -1,4 +1,4 @@
-"""Scripts: what is refused, and in which words; and that what is written is read back."""
+"""Scenario files: invalid ones are rejected with a clear message, and written ones can be read back."""
 
 from __future__ import annotations
 
@@ -13,44 +13,44 @@
 from passpost.rehearsal.script import ScenarioError, dump, load, parse
 from tests.rehearsal.nights import script
 
-SHIPPED = sorted((Path(__file__).parent.parent.parent / "rehearsals").rglob("*.toml"))
-GOOD = dump(script())
+SHIPPED_SCENARIOS = sorted((Path(__file__).parent.parent.parent / "rehearsals").rglob("*.toml"))
+VALID_TEXT = dump(script())
 
 
-def reason(text: str) -> str:
+def rejection(text: str) -> str:
     with pytest.raises(ScenarioError) as caught:
         parse(text, "night.toml")
-    found = str(caught.value)
-    assert found.startswith("night.toml: ") and "\n" not in found
-    return found.removeprefix("night.toml: ")
+    message = str(caught.value)
+    assert message.startswith("night.toml: ") and "\n" not in message
+    return message.removeprefix("night.toml: ")
 
 
-def with_event(lines: str) -> str:
-    return f"{GOOD}\n[[events]]\n{lines}\n"
+def with_event(event: str) -> str:
+    return f"{VALID_TEXT}\n[[events]]\n{event}\n"
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("version = ", "invalid TOML: Invalid value (at end of document)"),
         ("a" * 5 + " = 1\naaaaa = 2", "invalid TOML: Cannot overwrite a value (at end of document)"),
         ("version = 2", "version: invalid enum value 2"),
         ('version = 1\ntitle = "x"', "top level: missing key 'classes'"),
         (
-            GOOD.replace("length_s = 5.0", "lenght_s = 5.0"),
+            VALID_TEXT.replace("length_s = 5.0", "lenght_s = 5.0"),
             "unknown key 'lenght_s'; did you mean 'length_s'?",
         ),
-        (GOOD.replace("length_s = 5.0", "length_s = -5.0"), "length_s: expected `float` > 0.0"),
-        (GOOD.replace("length_s = 5.0", 'length_s = "long"'), "length_s: expected `float`, got `str`"),
-        (GOOD.replace("length_s = 5.0", "length_s = nan"), "length_s: "),
-        (GOOD.replace("length_s = 5.0", "length_s = inf"), "length_s: expected `float` <= 86400.0"),
-        (GOOD.replace('name = "submit"', 'name = "frame"'), "classes: the name 'frame' is used twice"),
+        (VALID_TEXT.replace("length_s = 5.0", "length_s = -5.0"), "length_s: expected `float` > 0.0"),
+        (VALID_TEXT.replace("length_s = 5.0", 'length_s = "long"'), "length_s: expected `float`, got `str`"),
+        (VALID_TEXT.replace("length_s = 5.0", "length_s = nan"), "length_s: "),
+        (VALID_TEXT.replace("length_s = 5.0", "length_s = inf"), "length_s: expected `float` <= 86400.0"),
+        (VALID_TEXT.replace('name = "submit"', 'name = "frame"'), "classes: the name 'frame' is used twice"),
         (
-            GOOD.replace("aim_ms = 600", "aim_ms = 2600"),
+            VALID_TEXT.replace("aim_ms = 600", "aim_ms = 2600"),
             "classes[0].aim_ms: 2600 is greater than the deadline of 2000",
         ),
         (
-            GOOD.replace('effect = "keyed"', 'effect = "key"'),
+            VALID_TEXT.replace('effect = "keyed"', 'effect = "key"'),
             "classes[1].effect: 'key' is not an allowed value; did you mean 'keyed'?",
         ),
         (
@@ -92,25 +92,25 @@
             "events[0].tier: there is no tier 'x'",
         ),
         (
-            GOOD.replace('name = "render"', 'name = "render"\npart = 0.5'),
+            VALID_TEXT.replace('name = "render"', 'name = "render"\npart = 0.5'),
             "tiers: the parts of the work add up to 0.5",
         ),
         (
-            GOOD.replace('name = "render"', 'name = "render"\ncalls = [2, 1]'),
+            VALID_TEXT.replace('name = "render"', 'name = "render"\ncalls = [2, 1]'),
             "tiers[0].calls: the minimum (first value)",
         ),
         (
-            GOOD.replace('name = "render"', 'name = "Render 1"'),
+            VALID_TEXT.replace('name = "render"', 'name = "Render 1"'),
             "tiers[0].name: expected `str` matching regex",
         ),
         ("a = " + "[" * 5_000, "nested too deeply"),
     ],
 )
-def test_what_is_wrong_is_told_in_one_line(text: str, wanted: str) -> None:
-    assert wanted in reason(text)
+def test_an_error_is_one_line_with_key_and_reason(text: str, expected: str) -> None:
+    assert expected in rejection(text)
 
 
-def test_files_that_can_not_be_read_are_told_plainly(tmp_path: Path) -> None:
+def test_an_unreadable_file_is_an_error_with_its_reason(tmp_path: Path) -> None:
     cases = {
         "nowhere.toml": "No such file",
         ".": "directory",
@@ -119,37 +119,37 @@
     }
     (tmp_path / "bad.toml").write_bytes(b"a \xff")
     (tmp_path / "big.toml").write_bytes(b"#" * 1_000_001)
-    for name, wanted in cases.items():
-        with pytest.raises(ScenarioError, match=wanted):
+    for name, expected in cases.items():
+        with pytest.raises(ScenarioError, match=expected):
             load(str(tmp_path / name))
 
 
-@pytest.mark.parametrize("path", SHIPPED, ids=lambda p: p.stem)
-def test_shipped_nights_are_read_and_written_back(path: Path) -> None:
-    night = load(str(path))
-    assert parse(dump(night), "again") == night
+@pytest.mark.parametrize("path", SHIPPED_SCENARIOS, ids=lambda p: p.stem)
+def test_shipped_scenarios_survive_a_round_trip(path: Path) -> None:
+    scenario = load(str(path))
+    assert parse(dump(scenario), "again") == scenario
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10**9), st.integers(0, 8))
-def test_drawn_nights_are_allowed_and_come_back_as_they_were(seed: int, most: int) -> None:
-    night = draw_scenario(script(tiers=2), seed, most)
-    text = dump(night)
-    assert parse(text, "again") == night
+def test_drawn_scenarios_are_valid_and_survive_a_round_trip(seed: int, max_faults: int) -> None:
+    scenario = draw_scenario(script(tiers=2), seed, max_faults)
+    text = dump(scenario)
+    assert parse(text, "again") == scenario
     assert dump(parse(text, "again")) == text
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.data())
-def test_a_damaged_script_is_refused_or_read_and_never_a_traceback(data: st.DataObject) -> None:
-    at = data.draw(st.integers(0, len(GOOD)))
+def test_a_damaged_file_is_read_or_raises_only_a_scenario_error(data: st.DataObject) -> None:
+    at = data.draw(st.integers(0, len(VALID_TEXT)))
     cut = data.draw(st.integers(0, 20))
-    text = GOOD[:at] + data.draw(st.text(max_size=8)) + GOOD[at + cut :]
+    text = VALID_TEXT[:at] + data.draw(st.text(max_size=8)) + VALID_TEXT[at + cut :]
     try:
         parse(text, "night.toml")
     except ScenarioError as error:
         assert "\n" not in str(error)
 
 
-def test_what_is_written_is_toml() -> None:
-    assert tomllib.loads(GOOD)["title"] == "A small night"
+def test_written_text_is_valid_toml() -> None:
+    assert tomllib.loads(VALID_TEXT)["title"] == "A small night"
