--- a/passpost/rehearsal/script.py
+++ b/passpost/rehearsal/script.py
@@ -75,7 +75,7 @@
         near = difflib.get_close_matches(wrong, sorted(_all_keys()), n=1)
         return f"{key}: unknown key {wrong!r}" + (f"; did you mean {near[0]!r}?" if near else "")
     if found := re.search(r"missing required field `(.*)`", reason):
-        return f"{key}: missing key {found[1]!r}"
+        return f"{key}: required key {found[1]!r} is missing"
     if found := re.search(r"Invalid (?:enum )?value '(.*)'", reason):
         near = difflib.get_close_matches(found[1], sorted(_event_kinds() | _literal_values()), n=1)
         hint = f"; did you mean {near[0]!r}?" if near else ""
--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -35,7 +35,7 @@
         ("version = ", "invalid TOML: Invalid value (at end of document)"),
         ("a" * 5 + " = 1\naaaaa = 2", "invalid TOML: Cannot overwrite a value (at end of document)"),
         ("version = 2", "version: invalid enum value 2"),
-        ('version = 1\ntitle = "x"', "top level: missing key 'classes'"),
+        ('version = 1\ntitle = "x"', "top level: required key 'classes' is missing"),
         (
             VALID_TEXT.replace("length_s = 5.0", "lenght_s = 5.0"),
             "unknown key 'lenght_s'; did you mean 'length_s'?",
@@ -57,8 +57,8 @@
             with_event('kind = "slwo"\nat_s = 1'),
             "'slwo' is not an allowed value; did you mean 'slow'?",
         ),
-        (with_event("at_s = 1"), "missing key 'kind'"),
-        (with_event('kind = "slow"\nat_s = 1\nfor_s = 1'), "missing key 'nodes'"),
+        (with_event("at_s = 1"), "required key 'kind' is missing"),
+        (with_event('kind = "slow"\nat_s = 1\nfor_s = 1'), "required key 'nodes' is missing"),
         (
             with_event('kind = "slow"\nat_s = 1\nfor_s = 1\nnodes = ["front-*"]'),
             "events[0].nodes: 'front-*' matches nothing; the names are render-fast-1, render-plain-1,",
