--- a/passpost/node.py
+++ b/passpost/node.py
@@ -87,8 +87,8 @@
     def limit(self, share: float) -> None:
         """Use at most this share of the connections that the descriptors allow."""
         callers, upstreams = connection_limits(self._config.sockets)
-        self.server.limit(int(callers * share))
-        self.upstreams.limit(int(upstreams * share))
+        self.server.set_max_open(int(callers * share))
+        self.upstreams.set_max_open(int(upstreams * share))
 
     def drain_time_s(self) -> float:
         """Seconds that a planned restart allows for a drain after SIGTERM."""
--- a/passpost/trace/engine.py
+++ b/passpost/trace/engine.py
@@ -10,7 +10,7 @@
 from passpost.http1 import Answer
 from passpost.ops.counting import CountingEngine
 from passpost.trace.model import AttemptEntry, RequestEnd, RequestEntry, format_request
-from passpost.upstreams.attempt import Outgoing
+from passpost.upstreams.attempt import OutgoingRequest
 from umberworks import interface
 from umberworks.interface import Outcome
 
@@ -44,7 +44,7 @@
         class_name: str,
         tenant: str | None,
         remaining: float,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         caller: Caller,
         free_connections: float,
     ) -> int:
@@ -53,14 +53,14 @@
         txn = found[1].decode("latin-1") if found is not None else "-"
         number = self._last_number + 1
         self._traces[number] = _RequestTrace(txn, class_name, self.now())
-        written = outgoing.written
+        written = outgoing.on_sent
 
         def on_written() -> None:
             if written is not None:
                 written()
             self._note_written(number)
 
-        outgoing.written = on_written
+        outgoing.on_sent = on_written
         return super().request_arrived(class_name, tenant, remaining, outgoing, caller, free_connections)
 
     def _execute(self, action: interface.Action) -> None:
