--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -45,7 +45,7 @@
     night = virtual.play(fleet(balancers, nodes, rate, seconds), 1)
     figures = summarize(night)
     return {
-        "night": night.script.title,
+        "night": night.scenario.title,
         "simulated_s": round(figures.seconds, 1),
         "wall_s": round(night.wall_s, 2),
         "simulated_s_a_wall_s": round(figures.seconds / night.wall_s, 2),
@@ -62,7 +62,7 @@
     both = {"virtual": virtual.play(script, script.seed)}
     try:
         both["live"] = live.play(script, script.seed)
-    except live.UnplayableError as error:
+    except live.UnsupportedScenarioError as error:
         return {"script": Path(path).stem, "not played live": str(error)}
     row: dict[str, Any] = {"script": Path(path).stem}
     for host, night in both.items():
@@ -72,8 +72,8 @@
         row[f"{host}_p99_ms"] = round(figures.total.p99_ms)
         row[f"{host}_breaks"] = sum(figures.violations.values())
         row[f"{host}_faults"] = night.faults[:3]
-        if night.breaks:
-            row[f"{host}_first_break"] = night.breaks[0].text
+        if night.violations:
+            row[f"{host}_first_break"] = night.violations[0].text
     row["difference"] = round(abs(row["virtual_served"] - row["live_served"]), 4)
     return row
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -45,9 +45,9 @@
     """One seed, in real time."""
     case = draw_case(seed, load(str(SIDECAR)))
     night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
-    served = sum(job.outcome == "served" for job in night.jobs)
+    served = sum(job.outcome == "served" for job in night.requests)
     mode = case.scenario.discovery.mode
-    return Run(seed, case.deployment(), mode, len(night.jobs), served, tuple(find_failures(night)))
+    return Run(seed, case.deployment(), mode, len(night.requests), served, tuple(find_failures(night)))
 
 
 def played(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -61,7 +61,7 @@
         discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S = before
     if found.faults:
         raise SystemExit(f"seed {seed}: {found.faults[0]}")
-    return sum(b.rule == "drain" for b in found.breaks)
+    return sum(b.rule == "drain" for b in found.violations)
 
 
 def main() -> None:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -35,7 +35,7 @@
 from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.script import load
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 ROOT = Path(__file__).parent.parent
 BASE = ROOT / "rehearsals" / "two-tiers-down.toml"
@@ -118,11 +118,11 @@
     )
 
 
-def served(of: Night) -> list[tuple[int, int]]:
+def served(of: Run) -> list[tuple[int, int]]:
     """For each second of first tries: how many there were, and how many were served."""
     seconds = [[0, 0] for _ in range(int(LENGTH_S))]
-    for job in of.jobs:
-        at = int(job.first - of.began)
+    for job in of.requests:
+        at = int(job.started_at - of.started_at)
         if job.outcome and 0 <= at < len(seconds):
             seconds[at][0] += 1
             seconds[at][1] += job.outcome == "served"
@@ -154,8 +154,8 @@
         "recovery_s": recovery(stalled, calm, end),
         "lost_share": 1 - sum(s for _, s in after) / max(sum(n for n, _ in after), 1),
         "calm_lost": 1 - sum(s for _, s in calm_all) / max(sum(n for n, _ in calm_all), 1),
-        "tries": sum(j.tries for j in stalled_night.jobs) / max(len(stalled_night.jobs), 1),
-        "breaks": len(stalled_night.breaks) + len(calm_night.breaks),
+        "tries": sum(j.tries for j in stalled_night.requests) / max(len(stalled_night.requests), 1),
+        "breaks": len(stalled_night.violations) + len(calm_night.violations),
         "faults": len(stalled_night.faults) + len(calm_night.faults),
         "seconds": [s / n if n else 1.0 for n, s in stalled],
     }
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -19,7 +19,7 @@
 from passpost.rehearsal.script import ScenarioError, load
 from passpost.rehearsal.summary import COLUMN_TITLES, Summary, summarize
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 MOST_STORIES = 3
 
@@ -65,12 +65,12 @@
                 sink.write(line + "\n")
 
         if live:
-            from passpost.rehearsal.live import UnplayableError
+            from passpost.rehearsal.live import UnsupportedScenarioError
             from passpost.rehearsal.live import play as play_live
 
             try:
                 night = play_live(night_script, chosen, write, progress)
-            except UnplayableError as error:
+            except UnsupportedScenarioError as error:
                 raise UnusableError(f"{script}: {error}") from None
         else:
             from passpost.rehearsal.virtual import play
@@ -83,7 +83,10 @@
         except OSError as error:
             raise UnusableError(f"{page}: {error.strerror}") from None
     if as_json:
-        more = {"good": night.is_good(), "first_break": night.breaks[0].text if night.breaks else None}
+        more = {
+            "good": night.is_good(),
+            "first_break": night.violations[0].text if night.violations else None,
+        }
         click.echo(json.dumps(figures.as_json() | more, indent=2))
     else:
         show(night, figures)
@@ -99,7 +102,7 @@
         raise UnusableError(f"{path}: {error.strerror}") from None
 
 
-def show(night: Night, figures: Summary) -> None:
+def show(night: Run, figures: Summary) -> None:
     """The table, and the story of whatever went against the rules."""
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 100)
     table = Table(title=f"{figures.title} (seed {figures.seed})", title_justify="left")
@@ -123,7 +126,7 @@
         console.print(f"  {text}: " + (f"[bold red]broken {broken} times[/]" if broken else "[green]kept[/]"))
     for fault in night.faults[:MOST_STORIES]:
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
-    for found in night.breaks[:MOST_STORIES]:
+    for found in night.violations[:MOST_STORIES]:
         console.print(f"\n[bold red]{RULES[found.rule]}:[/] {found.text}")
         for row in found.timeline:
             console.print(f"  {row}", markup=False)
--- a/passpost/rehearsal/explore.py
+++ b/passpost/rehearsal/explore.py
@@ -14,7 +14,7 @@
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Event, Scenario
 from passpost.rehearsal.virtual import play
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from umberworks.rules import Balancer
 
 Module = type[Balancer]
@@ -76,11 +76,11 @@
     return rng.choice(candidates)()
 
 
-def first_problem(night: Night) -> str:
+def first_problem(run: Run) -> str:
     """The first violation or fault of a run, in one line; empty if there is none."""
-    if night.breaks:
-        return f"{night.breaks[0].rule}: {night.breaks[0].text}"
-    return f"fault: {night.faults[0]}" if night.faults else ""
+    if run.violations:
+        return f"{run.violations[0].rule}: {run.violations[0].text}"
+    return f"fault: {run.faults[0]}" if run.faults else ""
 
 
 def _problem_kind(problem: str) -> str:
--- a/passpost/rehearsal/restarts.py
+++ b/passpost/rehearsal/restarts.py
@@ -13,7 +13,7 @@
 
 from passpost.rehearsal import model
 from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, NodeKind, Scenario, Tier
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 LENGTH_S = 6.0
 LAST_STOP_S = 2.5  # a later stop would leave the new process no time to become ready
@@ -148,8 +148,8 @@
     return [make_event() for make_event in rng.sample(candidates, rng.randint(0, 3))]
 
 
-def find_failures(night: Night) -> list[Failure]:
+def find_failures(run: Run) -> list[Failure]:
     """All failures of a run: violations, exit statuses, errors in logs, and balancers not ready in time."""
-    event_log = tuple(f"{at:9.3f}  {text}" for at, text in night.log)
-    found = [Failure(f"{b.rule}: {b.text}", tuple(b.timeline)) for b in night.breaks]
-    return found + [Failure(f"fault: {text}", event_log) for text in night.faults]
+    event_log = tuple(f"{at:9.3f}  {text}" for at, text in run.log)
+    found = [Failure(f"{b.rule}: {b.text}", tuple(b.timeline)) for b in run.violations]
+    return found + [Failure(f"fault: {text}", event_log) for text in run.faults]
--- a/passpost/rehearsal/script.py
+++ b/passpost/rehearsal/script.py
@@ -60,7 +60,7 @@
             scenario, sidecar=model.Sidecar(file=file, application=scenario.sidecar.application)
         )
         try:
-            carried.merged(scenario, carried.read(file))
+            carried.merge_operator_file(scenario, carried.read_operator_file(file))
         except carried.MismatchError as error:
             raise ScenarioError(f"{path}: {error}") from None
     return scenario
--- a/passpost/rehearsal/summary.py
+++ b/passpost/rehearsal/summary.py
@@ -6,24 +6,24 @@
 from dataclasses import dataclass
 from typing import Any
 
-from passpost.rehearsal.clients import Job
+from passpost.rehearsal.clients import ClientRequest
 from passpost.rehearsal.watch import RULES
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 
 COLUMN_TITLES = ("", "requests", "served", "in time", "refused", "failed", "p50 ms", "p99 ms", "worth")
 OUTCOMES = ("in time", "late", "refused", "failed")
 
 
-def outcome(job: Job) -> str:
+def outcome(request: ClientRequest) -> str:
     """How a request ended, retries included: one of OUTCOMES."""
-    if job.outcome == "served":
-        return "in time" if (job.ended - job.first) * 1000 <= job.cls.aim_ms else "late"
-    return "refused" if job.outcome == "refused" else "failed"
+    if request.outcome == "served":
+        return "in time" if (request.ended_at - request.started_at) * 1000 <= request.cls.aim_ms else "late"
+    return "refused" if request.outcome == "refused" else "failed"
 
 
-def worth(job: Job) -> float:
+def worth(request: ClientRequest) -> float:
     """The worth of the request's response: the full worth in time, a share of it if late, otherwise 0."""
-    return job.cls.worth * {"in time": 1.0, "late": job.cls.late_share}.get(outcome(job), 0.0)
+    return request.cls.worth * {"in time": 1.0, "late": request.cls.late_share}.get(outcome(request), 0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,44 +105,48 @@
     return round(value, 4) if isinstance(value, float) else value
 
 
-def summarize(night: Night) -> Summary:
+def summarize(run: Run) -> Summary:
     """Computes the figures of a run."""
-    jobs = [job for job in night.jobs if job.outcome]
-    violation_counts = Counter(b.rule for b in night.breaks)
-    request_count = max(len(jobs), 1)
+    requests = [request for request in run.requests if request.outcome]
+    violation_counts = Counter(b.rule for b in run.violations)
+    request_count = max(len(requests), 1)
     return Summary(
-        title=night.script.title,
-        seed=night.seed,
-        seconds=night.ended - night.began,
-        wall_s=night.wall_s,
-        total=_row("all", jobs),
-        by_class=tuple(_row(c.name, [j for j in jobs if j.cls.name == c.name]) for c in night.script.classes),
-        by_tenant=tuple(_row(t.name, [j for j in jobs if j.tenant == t.name]) for t in night.script.tenants),
-        attempts=night.attempts,
-        attempts_each=night.attempts / request_count,
-        tries_each=sum(j.tries for j in jobs) / request_count,
+        title=run.scenario.title,
+        seed=run.seed,
+        seconds=run.ended_at - run.started_at,
+        wall_s=run.wall_s,
+        total=_row("all", requests),
+        by_class=tuple(
+            _row(c.name, [r for r in requests if r.cls.name == c.name]) for c in run.scenario.classes
+        ),
+        by_tenant=tuple(
+            _row(t.name, [r for r in requests if r.tenant == t.name]) for t in run.scenario.tenants
+        ),
+        attempts=run.attempts,
+        attempts_each=run.attempts / request_count,
+        tries_each=sum(r.tries for r in requests) / request_count,
         violations={rule: violation_counts[rule] for rule in RULES},
-        faults=len(night.faults),
-        left_waiting=night.left_waiting,
-        sent_after=night.sent_after,
+        faults=len(run.faults),
+        left_waiting=run.left_waiting,
+        sent_after=run.sent_after,
     )
 
 
-def _row(name: str, jobs: list[Job]) -> Row:
-    total = max(len(jobs), 1)
-    outcome_counts = Counter(map(outcome, jobs))
-    durations_ms = sorted((j.ended - j.first) * 1000 for j in jobs if j.outcome == "served")
-    total_worth = sum(j.cls.worth for j in jobs)
+def _row(name: str, requests: list[ClientRequest]) -> Row:
+    total = max(len(requests), 1)
+    outcome_counts = Counter(map(outcome, requests))
+    durations_ms = sorted((r.ended_at - r.started_at) * 1000 for r in requests if r.outcome == "served")
+    total_worth = sum(r.cls.worth for r in requests)
     return Row(
         name=name,
-        requests=len(jobs),
+        requests=len(requests),
         served=len(durations_ms) / total,
         in_time=outcome_counts["in time"] / total,
         refused=outcome_counts["refused"] / total,
         failed=outcome_counts["failed"] / total,
         p50_ms=quantile(durations_ms, 0.5),
         p99_ms=quantile(durations_ms, 0.99),
-        worth=sum(map(worth, jobs)) / total_worth if total_worth else 0.0,
+        worth=sum(map(worth, requests)) / total_worth if total_worth else 0.0,
     )
 
 
@@ -151,13 +155,13 @@
     return ordered[min(int(len(ordered) * share), len(ordered) - 1)] if ordered else 0.0
 
 
-def outcomes_by_second(night: Night) -> list[Counter[str]]:
+def outcomes_by_second(run: Run) -> list[Counter[str]]:
     """Counts outcomes of requests by the second of the run in which each was first sent."""
-    seconds = [Counter[str]() for _ in range(int(night.ended - night.began) + 1)]
-    for job in night.jobs:
-        at = int(job.first - night.began)
-        if job.outcome and 0 <= at < len(seconds):
-            seconds[at][outcome(job)] += 1
+    seconds = [Counter[str]() for _ in range(int(run.ended_at - run.started_at) + 1)]
+    for request in run.requests:
+        at = int(request.started_at - run.started_at)
+        if request.outcome and 0 <= at < len(seconds):
+            seconds[at][outcome(request)] += 1
     while len(seconds) > 1 and not seconds[-1]:
         seconds.pop()
     return seconds
--- a/tests/rehearsal/test_restarts.py
+++ b/tests/rehearsal/test_restarts.py
@@ -13,7 +13,7 @@
 from passpost.rehearsal.restarts import READY_TIMEOUT_S, SIGNALS, RestartCase, draw_case, find_failures
 from passpost.rehearsal.script import dump, load, parse
 from passpost.rehearsal.watch import Violation
-from passpost.rehearsal.world import Night
+from passpost.rehearsal.world import Run
 from tests.loopback import ROOT
 
 SIDECAR_SCENARIO = load(str(ROOT / "examples" / "consent-desk" / "rehearsal.toml"))
@@ -27,11 +27,11 @@
 @pytest.mark.parametrize("seed", SOAK_SEEDS.values(), ids=SOAK_SEEDS.keys())
 def test_restarts_under_signals_and_faults_cause_no_failure(seed: int) -> None:
     case = drawn_case(seed)
-    night = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
-    assert find_failures(night) == [], "\n".join(
-        line for failure in find_failures(night) for line in (failure.what, *failure.timeline)
+    run = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
+    assert find_failures(run) == [], "\n".join(
+        line for failure in find_failures(run) for line in (failure.what, *failure.timeline)
     )
-    assert any(job.outcome == "served" for job in night.jobs)
+    assert any(request.outcome == "served" for request in run.requests)
 
 
 def test_draws_are_repeatable_and_differ_between_seeds() -> None:
@@ -55,11 +55,11 @@
 
 def test_violations_and_faults_are_failures() -> None:
     scenario = drawn_case(2).scenario
-    assert find_failures(Night(scenario, 2)) == []
-    failed_run = Night(
+    assert find_failures(Run(scenario, 2)) == []
+    failed_run = Run(
         scenario,
         2,
-        breaks=[Violation("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
+        violations=[Violation("lost", 3.0, "t7: closed with no whole answer", ["t7 sent"])],
         faults=["b1 ended with status -15"],
         log=[(2.0, "b1 gets SIGTERM")],
     )
@@ -74,4 +74,4 @@
     )
     (tmp_path / "b1.log").write_text(text)
     (tmp_path / "b2.log").write_text("INFO fine\n")
-    assert live.errors_logged(tmp_path) == ["b1: ValueError: no"]
+    assert live.logged_exceptions(tmp_path) == ["b1: ValueError: no"]
--- a/tests/rehearsal/test_script.py
+++ b/tests/rehearsal/test_script.py
@@ -11,10 +11,10 @@
 
 from passpost.rehearsal.explore import draw_scenario
 from passpost.rehearsal.script import ScenarioError, dump, load, parse
-from tests.rehearsal.nights import script
+from tests.rehearsal.nights import small_scenario
 
 SHIPPED_SCENARIOS = sorted((Path(__file__).parent.parent.parent / "rehearsals").rglob("*.toml"))
-VALID_TEXT = dump(script())
+VALID_TEXT = dump(small_scenario())
 
 
 def rejection(text: str) -> str:
@@ -133,7 +133,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 10**9), st.integers(0, 8))
 def test_drawn_scenarios_are_valid_and_survive_a_round_trip(seed: int, max_faults: int) -> None:
-    scenario = draw_scenario(script(tiers=2), seed, max_faults)
+    scenario = draw_scenario(small_scenario(tiers=2), seed, max_faults)
     text = dump(scenario)
     assert parse(text, "again") == scenario
     assert dump(parse(text, "again")) == text
