--- a/benchmarks/rehearsal.py
+++ b/benchmarks/rehearsal.py
@@ -20,23 +20,23 @@
 import msgspec
 
 from passpost.rehearsal import live, virtual
-from passpost.rehearsal.model import Class, Clients, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, NodeKind, Scenario, Tier
 from passpost.rehearsal.script import load
 from passpost.rehearsal.summary import summarize
 
 ROOT = Path(__file__).parent.parent
 
 
-def cost_script(balancers: int, nodes: int, rate_per_s: float, length_s: float) -> Script:
+def cost_script(balancers: int, nodes: int, rate_per_s: float, length_s: float) -> Scenario:
     """Returns a script with one tier of nodes, loaded to about half of their capacity."""
     work_ms = nodes * 2 * 1000 / rate_per_s / 2  # per request: half the time of two cores on each node
-    return Script(
+    return Scenario(
         version=1,
         title=f"{balancers} balancers x {nodes} nodes, {rate_per_s:g} requests a second",
         length_s=length_s,
         clients=Clients(rate_per_s=rate_per_s, processes=2 * balancers),
         classes=(Class(name="read", work_ms=work_ms, aim_ms=work_ms * 10, deadline_ms=work_ms * 30),),
-        tiers=(Tier(name="render", balancers=balancers, kinds=(Kind(name="plain", count=nodes),)),),
+        tiers=(Tier(name="render", balancers=balancers, kinds=(NodeKind(name="plain", count=nodes),)),),
     )
 
 
@@ -49,9 +49,9 @@
         "simulated_s": round(figures.seconds, 1),
         "wall_s": round(result.wall_s, 2),
         "simulated_s_a_wall_s": round(figures.seconds / result.wall_s, 2),
-        "requests_a_wall_s": round(figures.whole.requests / result.wall_s),
+        "requests_a_wall_s": round(figures.total.requests / result.wall_s),
         "peak_mb": round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024),
-        "served": round(figures.whole.served, 4),
+        "served": round(figures.total.served, 4),
         "good": result.is_good(),
     }
 
@@ -67,10 +67,10 @@
     row: dict[str, Any] = {"script": Path(path).stem}
     for mode, result in results.items():
         figures = summarize(result)
-        row[f"{mode}_served"] = round(figures.whole.served, 4)
-        row[f"{mode}_in_time"] = round(figures.whole.in_time, 4)
-        row[f"{mode}_p99_ms"] = round(figures.whole.p99_ms)
-        row[f"{mode}_breaks"] = sum(figures.breaks.values())
+        row[f"{mode}_served"] = round(figures.total.served, 4)
+        row[f"{mode}_in_time"] = round(figures.total.in_time, 4)
+        row[f"{mode}_p99_ms"] = round(figures.total.p99_ms)
+        row[f"{mode}_breaks"] = sum(figures.violations.values())
         row[f"{mode}_faults"] = result.faults[:3]
         if result.violations:
             row[f"{mode}_first_break"] = result.violations[0].text
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 from passpost.rehearsal import live
-from passpost.rehearsal.restarts import READY_S, Violation, draw, violations
+from passpost.rehearsal.restarts import READY_TIMEOUT_S, Failure, draw_case, find_failures
 from passpost.rehearsal.script import load
 
 ROOT = Path(__file__).parent.parent
@@ -39,16 +39,16 @@
     discovery: str
     requests: int
     served: int
-    violations: tuple[Violation, ...]
+    violations: tuple[Failure, ...]
 
 
 def play_seed(seed: int) -> Run:
     """Plays one seed in real time and checks the result."""
-    scenario = draw(seed, load(str(SIDECAR_SCRIPT)))
-    result = live.play(scenario.script, seed, workers=scenario.workers, ready_within=READY_S)
+    case = draw_case(seed, load(str(SIDECAR_SCRIPT)))
+    result = live.play(case.scenario, seed, workers=case.workers, ready_within=READY_TIMEOUT_S)
     served = sum(job.outcome == "served" for job in result.requests)
-    mode = scenario.script.discovery.mode
-    return Run(seed, scenario.host(), mode, len(result.requests), served, tuple(violations(result)))
+    mode = case.scenario.discovery.mode
+    return Run(seed, case.deployment(), mode, len(result.requests), served, tuple(find_failures(result)))
 
 
 def play_seeds(seeds: Iterable[int], jobs: int) -> Iterable[Run]:
--- a/benchmarks/roll.py
+++ b/benchmarks/roll.py
@@ -23,22 +23,22 @@
     Discovery,
     Drain,
     Event,
-    Kind,
+    NodeKind,
     Reload,
-    Script,
+    Scenario,
     Tier,
 )
 from passpost.rehearsal.virtual import play
 
 
-def build_script(balancers: int, calls_per_s: float) -> Script:
+def build_script(balancers: int, calls_per_s: float) -> Scenario:
     """Returns the scenario's script."""
-    kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
+    kinds = (NodeKind(name="fast", count=24, cores=2, speed=2.0), NodeKind(name="plain", count=24, cores=2))
     events: list[Event] = [Reload(at_s=3 + 2 * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)]
     for i in range(6):
         leaving = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
         events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=leaving, back_s=0.5))
-    return Script(
+    return Scenario(
         version=1,
         title="Nodes leave in turn while balancers change discovery",
         length_s=16.0,
@@ -51,7 +51,7 @@
     )
 
 
-def count_late_sends(script: Script, seed: int, timeout_s: float | None) -> int:
+def count_late_sends(script: Scenario, seed: int, timeout_s: float | None) -> int:
     """Counts sends after the grace period; `timeout_s` is the time-out of a call, None the program's own."""
     original_limits = discovery.ANSWER_TIMEOUT_S, discovery.QUEUE_MARGIN_S
     if timeout_s is not None:
--- a/benchmarks/stalls.py
+++ b/benchmarks/stalls.py
@@ -34,7 +34,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.script import load
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Run
@@ -69,7 +69,7 @@
         )
 
 
-def capacity(script: Script, crowd: float) -> float:
+def capacity(script: Scenario, crowd: float) -> float:
     """Returns the requests per second that the nodes sustain, limited by their cores and by their concurrent jobs.
 
     The limit by jobs: above a number of concurrent jobs a node slows down. A request occupies an outer node during its
@@ -95,7 +95,7 @@
     return min(limit_by_cores, job_limits[0] / outer_s) if crowd else limit_by_cores
 
 
-def build_script(case: Case) -> Script:
+def build_script(case: Case) -> Scenario:
     """Returns the script of a case; with `stall_s` 0 there is no stall."""
     base_script = load(str(BASE_SCRIPT))
     rate_per_s = case.load_share * capacity(base_script, case.crowd)
--- a/passpost/cli/explore.py
+++ b/passpost/cli/explore.py
@@ -11,7 +11,7 @@
 
 from passpost.cli.command import UnusableInputError
 from passpost.rehearsal.explore import explore
-from passpost.rehearsal.script import ScriptError, dump, load
+from passpost.rehearsal.script import ScenarioError, dump, load
 
 
 @click.command(name="explore")
@@ -48,7 +48,7 @@
     """
     try:
         base = load(script)
-    except ScriptError as error:
+    except ScenarioError as error:
         raise UnusableInputError(str(error)) from None
     console = Console(stderr=True)
     with Progress(
@@ -66,14 +66,16 @@
         return 0
     path = Path(out or f"found-{found.seed}.toml")
     try:
-        path.write_text(dump(found.script), encoding="utf-8")
+        path.write_text(dump(found.scenario), encoding="utf-8")
     except OSError as error:
         raise UnusableInputError(f"{path}: {error.strerror}") from None
     if as_json:
-        result = {"played": played, "found": {"seed": found.seed, "what": found.what, "script": str(path)}}
+        result = {"played": played, "found": {"seed": found.seed, "what": found.problem, "script": str(path)}}
         click.echo(json.dumps(result))
     else:
-        click.echo(f"seed {found.seed}, after {played} runs: {found.what}")
-        click.echo(f"shrunk to {len(found.script.events)} failures (of {found.drawn}); replay it with:")
+        click.echo(f"seed {found.seed}, after {played} runs: {found.problem}")
+        click.echo(
+            f"shrunk to {len(found.scenario.events)} failures (of {found.drawn_events}); replay it with:"
+        )
         click.echo(f"  passpost rehearse {path}")
     return 1
--- a/passpost/cli/rehearse.py
+++ b/passpost/cli/rehearse.py
@@ -16,8 +16,8 @@
 
 from passpost.cli.command import UnusableInputError
 from passpost.rehearsal import report
-from passpost.rehearsal.script import ScriptError, load
-from passpost.rehearsal.summary import HEADS, Summary, summarize
+from passpost.rehearsal.script import ScenarioError, load
+from passpost.rehearsal.summary import COLUMN_TITLES, Summary, summarize
 from passpost.rehearsal.watch import RULES
 from passpost.rehearsal.world import Run
 
@@ -41,7 +41,7 @@
     """
     try:
         night_script = load(script)
-    except ScriptError as error:
+    except ScenarioError as error:
         raise UnusableInputError(str(error)) from None
     chosen = night_script.seed if seed is None else seed
     with ExitStack() as stack:
@@ -78,7 +78,7 @@
     figures = summarize(night)
     if page is not None:
         try:
-            Path(page).write_text(report.write(night), encoding="utf-8")
+            Path(page).write_text(report.render_html(night), encoding="utf-8")
         except OSError as error:
             raise UnusableInputError(f"{page}: {error.strerror}") from None
     if as_json:
@@ -106,9 +106,9 @@
     console = Console(highlight=False, width=None if sys.stdout.isatty() else 100)
     table = Table(title=f"{figures.title} (seed {figures.seed})", title_justify="left")
     table.add_column("")
-    for head in HEADS[1:]:
+    for head in COLUMN_TITLES[1:]:
         table.add_column(head, justify="right")
-    for line in (figures.whole, *figures.by_class, *figures.by_tenant):
+    for line in (figures.total, *figures.by_class, *figures.by_tenant):
         table.add_row(*line.cells())
     console.print(table)
     console.print(
@@ -121,11 +121,11 @@
             f"{figures.sent_after} of their requests were sent to servers 0.3 s later or after that"
         )
     for rule, text in RULES.items():
-        broken = figures.breaks[rule]
+        broken = figures.violations[rule]
         console.print(f"  {text}: " + (f"[bold red]broken {broken} times[/]" if broken else "[green]kept[/]"))
     for fault in night.faults[:MAX_SHOWN_FINDINGS]:
         console.print(f"[bold red]fault:[/] {fault}", markup=True)
     for found in night.violations[:MAX_SHOWN_FINDINGS]:
         console.print(f"\n[bold red]{RULES[found.rule]}:[/] {found.text}")
-        for row in found.story:
+        for row in found.timeline:
             console.print(f"  {row}", markup=False)
--- a/passpost/rehearsal/carried.py
+++ b/passpost/rehearsal/carried.py
@@ -20,7 +20,7 @@
 from passpost.operator.routes import Routes
 from passpost.operator.settings import DEFAULT_AIM_SHARE
 from passpost.operator.sidecar import Sidecar
-from passpost.rehearsal.model import Class, Contract, Script
+from passpost.rehearsal.model import Class, Contract, Scenario
 from passpost.rehearsal.speech import PlainRequestFormat, example_request
 from umberworks.rules import Balancer
 
@@ -55,7 +55,7 @@
     return reading.file
 
 
-def application_of(scenario: Script, file: File) -> Application:
+def application_of(scenario: Scenario, file: File) -> Application:
     """Return the application that is simulated; raise MismatchError if the file has none of that name."""
     assert scenario.sidecar is not None
     for application in file.applications:
@@ -65,7 +65,7 @@
     raise MismatchError("sidecar.application", f"{scenario.sidecar.application!r} is none of {names}")
 
 
-def merge_operator_file(scenario: Script, file: File) -> Script:
+def merge_operator_file(scenario: Scenario, file: File) -> Scenario:
     """Return the scenario with the settings of the file; raise MismatchError where the two contradict."""
     application = application_of(scenario, file)
     classes_by_name = {c.name: c for c in application.classes}
@@ -125,7 +125,7 @@
             raise MismatchError(f"{key}.{name}", "the operator's file sets this; remove it here")
 
 
-def sidecar_file(file: File, scenario: Script, listen: Address, discovery: Address) -> File:
+def sidecar_file(file: File, scenario: Scenario, listen: Address, discovery: Address) -> File:
     """Return the file of one sidecar in a run: one application, the sidecar's address and the simulated registry."""
     application = application_of(scenario, file)
     caller_connections, upstreams = connection_limits(file)
@@ -152,7 +152,7 @@
     return {v.removeprefix("env:"): ENVIRONMENT_VALUE for v in values if v.startswith("env:")}
 
 
-def speech(scenario: Script, file: File) -> PlainRequestFormat:
+def speech(scenario: Scenario, file: File) -> PlainRequestFormat:
     """Return the request format of the clients and of the first tier."""
     return PlainRequestFormat(application_of(scenario, file), file.health.path)
 
--- a/passpost/rehearsal/clients.py
+++ b/passpost/rehearsal/clients.py
@@ -9,11 +9,11 @@
 
 from passpost.host import Address
 from passpost.rehearsal.http import LATE_ANSWER_GRACE_S, ConnectionPool, Result
-from passpost.rehearsal.model import Class, Script, Tenant
+from passpost.rehearsal.model import Class, Scenario, Tenant
 from passpost.rehearsal.nodes import report_result
 from passpost.rehearsal.speech import RequestFormat
 from passpost.rehearsal.stage import Backend
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 READY_POLL_S = 0.2  # interval of readiness probes to a balancer that is starting
 STOP_TO_REMOVAL_S = 0.3  # time from SIGTERM until a balancer gets no new connections
@@ -102,8 +102,8 @@
     def __init__(
         self,
         backend: Backend,
-        checker: Watch,
-        scenario: Script,
+        checker: InvariantChecker,
+        scenario: Scenario,
         seed: int,
         excuse_for: Callable[[str, float], str],
         speech: RequestFormat,
@@ -213,18 +213,18 @@
 
         def request_bytes() -> bytes:
             now = self._backend.now()
-            self._checker.asked(now, txn, cls, balancer, deadline_at)
+            self._checker.request_sent(now, txn, cls, balancer, deadline_at)
             tenant = request.tenant if self._scenario.tenants else ""
             topic = f"m{request.number % 997}"
             return self._speech.write(cls, txn, max(deadline_at - now, 0.001), tenant, request.key, topic)
 
         def handle(result: Result) -> None:
             if result.end_reason == "crossed" and not new_connection:  # sent again on a new connection
-                self._checker.note(self._backend.now(), txn, "crossed a close; sent once more")
+                self._checker.add_note(self._backend.now(), txn, "crossed a close; sent once more")
                 self._send(request, process, balancer, txn, deadline_at, unreached_count, new_connection=True)
                 return
             if result.end_reason == "left":
-                self._checker.left(self._backend.now(), txn)
+                self._checker.client_left(self._backend.now(), txn)
             else:
                 report_result(self._backend, self._checker, txn, result, self._excuse_for(balancer, sent_at))
             self._handle_result(request, process, result, unreached_count)
--- a/passpost/rehearsal/live.py
+++ b/passpost/rehearsal/live.py
@@ -29,7 +29,7 @@
 from passpost.operator.model import File
 from passpost.operator.writer import render
 from passpost.rehearsal import carried, model
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.stage import Backend, BalancerHandle, Config, ConnectionEnd
 from passpost.rehearsal.world import Run, World
 
@@ -45,7 +45,7 @@
     """The scenario needs something that the live backend does not support."""
 
 
-def check(scenario: Script) -> None:
+def check(scenario: Scenario) -> None:
     """Raises UnsupportedScenarioError, naming the event, if a scenario can't run on the live backend."""
     nodes = set(scenario.node_names())
     if len(scenario.balancer_names()) > MAX_BALANCERS:
@@ -70,7 +70,7 @@
             raise UnsupportedScenarioError(f"events[{i}].nodes: live, only nodes and balancers can be paused")
 
 
-def _matching_names(patterns: tuple[str, ...], scenario: Script) -> set[str]:
+def _matching_names(patterns: tuple[str, ...], scenario: Scenario) -> set[str]:
     names = [*scenario.node_names(), *scenario.balancer_names(), "clients", "discovery"]
     return {n for n in names if any(fnmatchcase(n, p) for p in patterns)}
 
@@ -219,7 +219,7 @@
 
 
 def play(
-    scenario: Script,
+    scenario: Scenario,
     seed: int,
     sink: Callable[[str], None] | None = None,
     progress: Callable[[float], None] = lambda share: None,
--- a/passpost/rehearsal/machine.py
+++ b/passpost/rehearsal/machine.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from heapq import heappop, heappush
 
-from passpost.rehearsal.model import Contract, Kind
+from passpost.rehearsal.model import Contract, NodeKind
 
 WARM_UP_STEP_S = 0.05  # step in which the speed of a cold node is taken as constant
 CROWDING_WINDOW_S = 2.0  # time constant of the exponential mean of the request count
@@ -40,7 +40,7 @@
     Callers call `advance` first; every other method uses the time of the last `advance` as now.
     """
 
-    def __init__(self, kind: Kind, contract: Contract, now: float, cold: bool) -> None:
+    def __init__(self, kind: NodeKind, contract: Contract, now: float, cold: bool) -> None:
         self.kind, self._contract = kind, contract
         self.now, self.started_at = now, now if cold else -math.inf
         self.slowdown = 1.0  # factor set by injected faults
--- a/passpost/rehearsal/nodes.py
+++ b/passpost/rehearsal/nodes.py
@@ -11,10 +11,10 @@
 from passpost.host import Address
 from passpost.rehearsal.http import ConnectionPool, Request, RequestConnection, Result, write_request
 from passpost.rehearsal.machine import Job, Machine
-from passpost.rehearsal.model import Class, Contract, Kind, Tier
+from passpost.rehearsal.model import Class, Contract, NodeKind, Tier
 from passpost.rehearsal.speech import ParsedRequest, RequestFormat
 from passpost.rehearsal.stage import Backend, listen
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 REPEAT_WORK_SHARE = 0.1  # share of its work that a deduplicated repeat costs
 MALFORMED_RESPONSES = (
@@ -110,10 +110,10 @@
     def __init__(
         self,
         backend: Backend,
-        checker: Watch,
+        checker: InvariantChecker,
         name: str,
         tier: Tier,
-        kind: Kind,
+        kind: NodeKind,
         contract: Contract,
         classes: dict[str, Class],
         idempotency_keys: IdempotencyKeys,
@@ -234,7 +234,7 @@
         self._request_count += 1
         pending = _PendingRequest(connection, asked, cls, self._request_count)
         connection.pending = pending
-        pending.attempt = self.checker.attempt(
+        pending.attempt = self.checker.attempt_received(
             request.first_byte_sent_at, request.last_byte_sent_at, now, txn, self.name, connection.balancer
         )
         pending.deadline_at = now + (cls.deadline_ms / 1000 if asked.remaining is None else asked.remaining)
@@ -257,7 +257,7 @@
             self._pending_by_number[pending.number] = pending
         if self.machine.collapsed and not self.collapse_reported:
             self.collapse_reported = True
-            self.checker.fell(now, self.name, self.started_at, self.machine.pressure_by_sender())
+            self.checker.node_overloaded(now, self.name, self.started_at, self.machine.pressure_by_sender())
         self._advance()
 
     def _draw_work_ms(self, cls: Class, txn: str) -> float:
@@ -268,7 +268,7 @@
         return random.Random(f"work {self._seed} {txn}").gammavariate(shape, cls.work_ms / shape)
 
     def _reject(self, pending: _PendingRequest) -> None:
-        self.checker.turned_away(self.backend.now(), pending.txn, self.name, pending.attempt)
+        self.checker.attempt_turned_away(self.backend.now(), pending.txn, self.name, pending.attempt)
         if pending.connection is not None:
             pending.connection.answer(503, b"", "X-Turned-Away: 1\r\n")
 
@@ -311,7 +311,7 @@
 
         def data() -> bytes:
             remaining_s = max(pending.deadline_at - self.backend.now(), 0.0)
-            self.checker.asked(
+            self.checker.request_sent(
                 self.backend.now(), txn, pending.cls, balancer, pending.deadline_at, pending.txn
             )
             return write_request(
@@ -356,7 +356,7 @@
             connection.write(self._random.choice(MALFORMED_RESPONSES))
         else:
             body = f"{pending.txn} by {self.name}".encode()
-            self.checker.answered(self.backend.now(), pending.txn, self.name, body)
+            self.checker.node_responded(self.backend.now(), pending.txn, self.name, body)
             connection.answer(200, body)
 
     def _release_slot(self, pending: _PendingRequest) -> None:
@@ -373,25 +373,25 @@
             next_job = self.machine.release_slot()
 
 
-def report_result(backend: Backend, checker: Watch, txn: str, result: Result, excuse: str) -> None:
+def report_result(backend: Backend, checker: InvariantChecker, txn: str, result: Result, excuse: str) -> None:
     """Report the result of a call to the checker."""
     now = backend.now()
     if result.end_reason == "answer" and result.answer is not None:
         status = result.answer.status
         if status == 200:
-            checker.served(now, txn, result.answer.body)
+            checker.response_served(now, txn, result.answer.body)
         elif status in (429, 503):
-            checker.refused(now, txn)
+            checker.response_refused(now, txn)
         else:
-            checker.failed(now, txn, status)
+            checker.response_failed(now, txn, status)
     elif result.end_reason == "crossed":
-        checker.excused(now, txn, "crossed the close of its connection")
+        checker.response_excused(now, txn, "crossed the close of its connection")
     elif result.end_reason == "unreached":
         return  # the request was never sent
     elif excuse:
-        checker.excused(now, txn, f"{result.end_reason}: {excuse}")
+        checker.response_excused(now, txn, f"{result.end_reason}: {excuse}")
     else:
-        checker.lost(
+        checker.response_lost(
             now,
             txn,
             {"silent": "no answer in time", "ended": "closed with no whole answer"}.get(
--- a/passpost/rehearsal/platform_file.py
+++ b/passpost/rehearsal/platform_file.py
@@ -5,14 +5,14 @@
 from typing import Any
 
 from passpost.host import Address
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 
 PLATFORM_EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 MEMORY_MB = 192
 
 
 def configuration(
-    scenario: Script,
+    scenario: Scenario,
     tier: int,
     name: str,
     listen: Address,
@@ -32,7 +32,7 @@
     }
 
 
-def settings(scenario: Script, tier: int) -> dict[str, Any]:
+def settings(scenario: Scenario, tier: int) -> dict[str, Any]:
     """Return the platform's settings for the balancers that call tier number `tier`."""
     contract, discovery = scenario.contract, scenario.discovery
     calling_tier = scenario.tiers[tier - 1] if tier else None
--- a/passpost/rehearsal/registry.py
+++ b/passpost/rehearsal/registry.py
@@ -20,7 +20,7 @@
 from passpost.rehearsal.http import Request, RequestConnection
 from passpost.rehearsal.model import Discovery
 from passpost.rehearsal.stage import Backend, listen
-from passpost.rehearsal.watch import Watch
+from passpost.rehearsal.watch import InvariantChecker
 
 MAX_QUEUE_WAIT_S = 2.0  # a call that would wait longer for its turn is rejected with 503
 # A balancer that polls an agent can't know a change that the agent receives just before it stops responding. A
@@ -73,7 +73,7 @@
     def __init__(
         self,
         backend: Backend,
-        checker: Watch,
+        checker: InvariantChecker,
         settings: Discovery,
         ask_within_s: float,
         seed: int,
@@ -175,7 +175,7 @@
             loop = asyncio.get_running_loop()
             loop.call_later(due_at - now, self._notify_if_overdue, entry, balancer, running_since)
         else:
-            self._checker.told(now, balancer, entry.node, False, entry.started_at)
+            self._checker.list_notified(now, balancer, entry.node, False, entry.started_at)
 
     def mark_not_polling(self, balancer: str, failed: bool = False) -> None:
         """Record that a balancer neither watches nor polls from now on; `failed`: because its call failed."""
@@ -308,7 +308,7 @@
         if entry.phase != "active" and not self.is_reachable(balancer, self.backend.now()):
             asyncio.get_running_loop().call_later(UNREACHABLE_RECHECK_S, self._notify, balancer, entry)
             return
-        self._checker.told(
+        self._checker.list_notified(
             self.backend.now(), balancer, entry.node, entry.phase == "active", entry.started_at
         )
 
--- a/passpost/rehearsal/virtual.py
+++ b/passpost/rehearsal/virtual.py
@@ -19,7 +19,7 @@
 from passpost.operator.sidecar import Sidecar
 from passpost.rehearsal import carried
 from passpost.rehearsal.loop import Process, SimLoop, StalledError
-from passpost.rehearsal.model import Script
+from passpost.rehearsal.model import Scenario
 from passpost.rehearsal.network import Network, SimHost, SimTransport
 from passpost.rehearsal.stage import Backend, BalancerHandle, Config, ConnectionEnd
 from passpost.rehearsal.world import Run, World
@@ -113,7 +113,7 @@
     simulated = True
 
     def __init__(
-        self, scenario: Script, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
+        self, scenario: Scenario, seed: int, sink: Sink | None = None, module: type[Balancer] = Balancer
     ) -> None:
         self.loop = SimLoop(seed)  # type: ignore[abstract]  # balancers use none of its missing methods
         network_settings = scenario.network
@@ -225,7 +225,7 @@
 
 
 def play(
-    scenario: Script,
+    scenario: Scenario,
     seed: int,
     sink: Sink | None = None,
     progress: Callable[[float], None] = lambda share: None,
@@ -245,7 +245,7 @@
     except StalledError as error:
         result = world.run
         result.faults.append(str(error))
-        result.requests, result.violations = world.clients.requests, world.checker.breaks
+        result.requests, result.violations = world.clients.requests, world.checker.violations
         result.ended_at = backend.now()
     finally:
         log.removeHandler(handler)
--- a/passpost/rehearsal/world.py
+++ b/passpost/rehearsal/world.py
@@ -16,12 +16,12 @@
 from passpost.operator.model import Discovered, File
 from passpost.rehearsal import carried, model, platform_file
 from passpost.rehearsal.clients import ClientRequest, Clients
-from passpost.rehearsal.model import Kind, Script, Tier
+from passpost.rehearsal.model import NodeKind, Scenario, Tier
 from passpost.rehearsal.nodes import IdempotencyKeys, Node
 from passpost.rehearsal.registry import Registry, RegistryEntry
 from passpost.rehearsal.speech import RequestFormat
 from passpost.rehearsal.stage import Backend, BalancerHandle, Config
-from passpost.rehearsal.watch import Break, Watch
+from passpost.rehearsal.watch import InvariantChecker, Violation
 
 READY_TIMEOUT_S = 20.0  # a balancer that is not ready by then never will be; the run ends with a fault
 SAMPLE_INTERVAL_S = 0.5
@@ -42,10 +42,10 @@
 class Run:
     """The result of one run of a scenario. Times are in seconds of simulation time."""
 
-    scenario: Script
+    scenario: Scenario
     seed: int
     requests: list[ClientRequest] = field(default_factory=list)
-    violations: list[Break] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)  # faults of the program: crashes and uncaught errors
     samples: list[Sample] = field(default_factory=list)
     log: list[tuple[float, str]] = field(default_factory=list)  # (time, text) of each event that was applied
@@ -66,7 +66,7 @@
     """A host of the fleet: the node process on it, and the addresses by balancer, which outlive that process."""
 
     tier: Tier
-    kind: Kind
+    kind: NodeKind
     number: int
     node: Node | None = None
     name: str = ""
@@ -81,7 +81,7 @@
     def __init__(
         self,
         backend: Backend,
-        scenario: Script,
+        scenario: Scenario,
         seed: int,
         progress: Callable[[float], None],
         file: File | None = None,
@@ -94,7 +94,7 @@
             scenario, speech = carried.merge_operator_file(scenario, file), carried.speech(scenario, file)
         self._operator_file, self._speech = file, speech
         self.backend, self.scenario, self.seed, self._report_progress = backend, scenario, seed, progress
-        self.checker = Watch(scenario.contract)
+        self.checker = InvariantChecker(scenario.contract)
         self.run = Run(scenario, seed)
         self._random = random.Random(f"world {seed}")
         self._classes = {c.name: c for c in scenario.classes}
@@ -195,8 +195,8 @@
         for node_host in self._hosts:
             if node_host.node is not None:
                 self.backend.run_as(node_host.name, node_host.node.close)
-        self.checker.ended(self.backend.now())
-        run.requests, run.violations = self.clients.requests, self.checker.breaks
+        self.checker.run_ended(self.backend.now())
+        run.requests, run.violations = self.clients.requests, self.checker.violations
         run.left_waiting, run.sent_after = self.checker.left_waiting, self.checker.sent_after
         run.attempts, run.ended_at = self.checker.attempts, self.backend.now()
         return run
@@ -510,7 +510,7 @@
 
         def resume() -> None:
             self.backend.pause(name, False)
-            self.checker.woke(self.backend.now(), name, paused_since)
+            self.checker.balancer_resumed(self.backend.now(), name, paused_since)
 
         self._call_after(seconds, resume)
 
--- a/tests/rehearsal/nights.py
+++ b/tests/rehearsal/nights.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, Kind, Script, Tier
+from passpost.rehearsal.model import Class, Clients, Contract, Discovery, Event, NodeKind, Scenario, Tier
 from passpost.rehearsal.virtual import play
 from passpost.rehearsal.world import Run
 from umberworks import interface
@@ -20,9 +20,9 @@
 INVOICE = Class(name="invoice", work_ms=20, aim_ms=400, deadline_ms=1_500, effect="unsafe")
 
 
-def small_scenario(*events: Event, tiers: int = 1, **changes: Any) -> Script:
+def small_scenario(*events: Event, tiers: int = 1, **changes: Any) -> Scenario:
     """Return a scenario of five seconds with four nodes per tier."""
-    kinds = (Kind(name="fast", count=1, speed=2.0), Kind(name="plain", count=3))
+    kinds = (NodeKind(name="fast", count=1, speed=2.0), NodeKind(name="plain", count=3))
     last = Tier(name="render", kinds=kinds, balancers=1 if tiers > 1 else 2, part=0.5 if tiers > 1 else 1.0)
     first = Tier(name="front", kinds=kinds, balancers=2, part=0.5)
     base: dict[str, Any] = {
@@ -36,11 +36,11 @@
         "tiers": (first, last) if tiers > 1 else (last,),
         "events": events,
     }
-    return msgspec.convert(msgspec.to_builtins(Script(**(base | changes))), Script)
+    return msgspec.convert(msgspec.to_builtins(Scenario(**(base | changes))), Scenario)
 
 
 def run_with_decisions(
-    scenario: Script, seed: int, module: type[Balancer] = Balancer
+    scenario: Scenario, seed: int, module: type[Balancer] = Balancer
 ) -> tuple[Run, list[str]]:
     """Run a scenario; return its result and one line for each decision of the balancers."""
     lines: list[str] = []
--- a/tests/rehearsal/test_carried.py
+++ b/tests/rehearsal/test_carried.py
@@ -16,8 +16,8 @@
 from passpost.operator.reader import UnreadableError, parse
 from passpost.rehearsal import carried, live, model
 from passpost.rehearsal.carried import MismatchError
-from passpost.rehearsal.model import Class, Clients, Contract, Kind, Script, Tier
-from passpost.rehearsal.script import ScriptError, dump, load
+from passpost.rehearsal.model import Class, Clients, Contract, NodeKind, Scenario, Tier
+from passpost.rehearsal.script import ScenarioError, dump, load
 from passpost.rehearsal.script import parse as parse_script
 from passpost.rehearsal.summary import summarize
 from passpost.rehearsal.virtual import play
@@ -42,10 +42,10 @@
     return file
 
 
-def sidecar_scenario(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Script:
+def sidecar_scenario(file: File, *events: model.Event, tiers: int = 1, **changes: Any) -> Scenario:
     """Return a short scenario of the file's first application, with the same load for each of its classes."""
     application = file.applications[0]
-    kinds = (Kind(name="plain", count=4),)
+    kinds = (NodeKind(name="plain", count=4),)
     first_tier = Tier(name="render", kinds=kinds, balancers=min(application.balancers, 2))
     last_tier = Tier(name="store", kinds=kinds, part=0.5)
     base: dict[str, Any] = {
@@ -58,7 +58,7 @@
         "tiers": (first_tier,) if tiers == 1 else (msgspec.structs.replace(first_tier, part=0.5), last_tier),
         "events": events,
     }
-    return Script(**(base | changes))
+    return Scenario(**(base | changes))
 
 
 def test_a_files_classes_keys_and_tenants_reach_the_servers() -> None:
@@ -70,7 +70,7 @@
     )
     assert run.is_good(), (run.faults, run.violations)
     summary = summarize(run)
-    assert summary.whole.served == 1.0 and {line.name for line in summary.by_class} == {
+    assert summary.total.served == 1.0 and {line.name for line in summary.by_class} == {
         "submit",
         "frame",
         "pay",
@@ -90,7 +90,7 @@
     reloads = [model.Reload(at_s=0.2 * i, balancer="b1") for i in range(1, 12)]
     run = play(sidecar_scenario(file, *reloads, clients=Clients(rate_per_s=80, try_share=1.0)), 1, file=file)
     assert run.is_good(), (run.faults, run.violations)
-    assert len(run.requests) > 150 and summarize(run).whole.served == 1.0
+    assert len(run.requests) > 150 and summarize(run).total.served == 1.0
     assert Counter(text for _, text in run.log)["b1: discovery moves, SIGHUP"] == 11
 
 
@@ -121,7 +121,7 @@
     scenario = load(str(path))
     run = play(scenario, scenario.seed)
     assert run.is_good(), (run.faults, run.violations)
-    assert summarize(run).whole.served > 0.9
+    assert summarize(run).total.served > 0.9
     assert "b1: discovery moves, SIGHUP" in {text for _, text in run.log}
     assert parse_script(dump(scenario), "elsewhere/copy.toml") == scenario  # the path of its file is absolute
 
@@ -151,8 +151,8 @@
         )
     )
     run = live.play(load(str(tmp_path / "night.toml")), 1)
-    assert run.faults == [] and summarize(run).whole.served > 0
-    assert run.attempts >= summarize(run).whole.requests > 10
+    assert run.faults == [] and summarize(run).total.served > 0
+    assert run.attempts >= summarize(run).total.requests > 10
 
 
 @pytest.mark.parametrize(
@@ -170,7 +170,7 @@
         ),
         ({"contract": Contract(cold_ms=4.0)}, "contract.cold_ms: the operator's file sets this"),
         (
-            {"tiers": (Tier(name="render", kinds=(Kind(name="plain"),), balancers=3),)},
+            {"tiers": (Tier(name="render", kinds=(NodeKind(name="plain"),), balancers=3),)},
             r"tiers\[0\].balancers: 3 sidecars, and the file is written for 1",
         ),
     ],
@@ -184,7 +184,7 @@
     scenario_path.write_text(dump(valid_scenario))
     assert load(str(scenario_path)).classes == valid_scenario.classes
     scenario_path.write_text(dump(msgspec.structs.replace(valid_scenario, **change)))
-    with pytest.raises(ScriptError, match=reason):
+    with pytest.raises(ScenarioError, match=reason):
         load(str(scenario_path))
 
 
--- a/tests/rehearsal/test_live.py
+++ b/tests/rehearsal/test_live.py
@@ -30,7 +30,7 @@
     )
     assert result.faults == []
     figures = summarize(result)
-    assert figures.whole.requests > 10 and figures.whole.served > 0
+    assert figures.total.requests > 10 and figures.total.served > 0
     assert [text for _, text in result.log if "b2" in text] == ["b2 killed", "b2 starts again"]
 
 
--- a/tests/rehearsal/test_nights.py
+++ b/tests/rehearsal/test_nights.py
@@ -16,10 +16,10 @@
 from passpost.callers.connection import Connection
 from passpost.rehearsal import explore as exploring
 from passpost.rehearsal import model
-from passpost.rehearsal.model import Clients, Contract, Network, Script
-from passpost.rehearsal.report import write
+from passpost.rehearsal.model import Clients, Contract, Network, Scenario
+from passpost.rehearsal.report import render_html
 from passpost.rehearsal.script import dump, load, parse
-from passpost.rehearsal.summary import by_second, summarize
+from passpost.rehearsal.summary import outcomes_by_second, summarize
 from passpost.rehearsal.virtual import play
 from tests.rehearsal import nights
 from tests.rehearsal.nights import MIXED_FAULTS, run_with_decisions, small_scenario
@@ -43,9 +43,9 @@
     run = play(small_scenario(tiers=2), 1)
     summary = summarize(run)
     assert run.is_good(), (run.faults, run.violations)
-    assert summary.whole.served == 1.0 and summary.whole.requests > 150
+    assert summary.total.served == 1.0 and summary.total.requests > 150
     assert summary.attempts_each == 2.0  # one attempt at each tier
-    assert sum(sum(c.values()) for c in by_second(run)) == summary.whole.requests
+    assert sum(sum(c.values()) for c in outcomes_by_second(run)) == summary.total.requests
 
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hash_seed(tmp_path: Path) -> None:
@@ -77,7 +77,7 @@
     )
     run = play(reduced_load, scenario.seed)
     assert run.is_good(), (run.faults, run.violations)
-    assert summarize(run).whole.served > 0.5
+    assert summarize(run).total.served > 0.5
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "rehearsals" / "found").glob("*.toml")), ids=lambda p: p.stem)
@@ -104,7 +104,7 @@
 def test_a_balancer_that_sends_twice_is_detected() -> None:
     run, _ = run_with_decisions(small_scenario(), 1, nights.ServesTwice)
     assert "twice" in broken_rules(run)
-    timeline = next(b for b in run.violations if b.rule == "twice").story
+    timeline = next(b for b in run.violations if b.rule == "twice").timeline
     assert any("invoice, unsafe" in line for line in timeline)
     assert sum("attempt" in line for line in timeline) >= 2
 
@@ -167,7 +167,7 @@
 
 def test_splitting_the_byte_stream_anywhere_changes_no_outcome() -> None:
     run = play(small_scenario(network=Network(split=1.0)), 2)
-    assert run.is_good() and summarize(run).whole.served == 1.0
+    assert run.is_good() and summarize(run).total.served == 1.0
 
 
 def test_a_node_may_restart_under_its_old_name_while_attempts_are_open() -> None:
@@ -184,7 +184,7 @@
     )
     run = play(small_scenario(*steps, model.Stop(at_s=1.0, balancer="b1", back_s=0.1)), 1)
     assert run.is_good(), (run.faults, run.violations)
-    assert summarize(run).whole.served == 1.0
+    assert summarize(run).total.served == 1.0
 
 
 def test_a_restart_finishes_before_sigkill_even_with_deadlines_longer_than_the_drain() -> None:
@@ -207,14 +207,14 @@
         1,
     )
     assert run.is_good(), (run.faults, run.violations)
-    assert summarize(run).whole.served > 0.9
+    assert summarize(run).total.served > 0.9
 
 
 def test_a_run_ends_when_all_nodes_have_crashed() -> None:
     crash = model.Crash(at_s=0.5, for_s=60, nodes=("render-*",), back_as="never")
     run = play(small_scenario(crash), 1)
     assert run.is_good(), (run.faults, run.violations)
-    assert 0 < summarize(run).whole.served < 0.5
+    assert 0 < summarize(run).total.served < 0.5
 
 
 def test_balancers_that_never_become_ready_end_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -227,7 +227,7 @@
     overload = small_scenario(clients=Clients(rate_per_s=900, honour=1.0), contract=Contract())
     run = play(msgspec.structs.replace(overload, length_s=2.0), 1)
     assert run.is_good(), (run.faults, run.violations)
-    assert summarize(run).whole.refused > 0
+    assert summarize(run).total.refused > 0
 
 
 # ---- exploring
@@ -240,15 +240,15 @@
     )
     found, run_count = exploring.explore(base, range(1, 4), 1, 2, module=nights.IgnoresDrains)
     assert found is not None and run_count == 1
-    assert found.what.startswith("drain: ")
-    assert [type(e) for e in found.script.events] == [model.Drain] and found.drawn >= 3
-    minimal = parse(dump(found.script), "found.toml")
+    assert found.problem.startswith("drain: ")
+    assert [type(e) for e in found.scenario.events] == [model.Drain] and found.drawn_events >= 3
+    minimal = parse(dump(found.scenario), "found.toml")
     assert broken_rules(play(minimal, minimal.seed, module=nights.IgnoresDrains)) == {"drain"}
     assert play(minimal, minimal.seed).is_good()
 
 
 def test_exploring_gives_the_same_result_with_any_number_of_processes() -> None:
-    base: Script = msgspec.structs.replace(small_scenario(), length_s=1.0)
+    base: Scenario = msgspec.structs.replace(small_scenario(), length_s=1.0)
     assert (
         exploring.explore(base, range(1, 7), 1, 3) == exploring.explore(base, range(1, 7), 3, 3) == (None, 6)
     )
@@ -260,7 +260,7 @@
 def test_the_report_has_no_external_resources_and_shows_events_and_violations() -> None:
     drain = model.Drain(at_s=0.5, for_s=4.0, nodes=("render-plain-1",))
     run, _ = run_with_decisions(small_scenario(drain, title="Fish & <chips>"), 1, nights.IgnoresDrains)
-    page = write(run)
+    page = render_html(run)
     assert not re.search(r"(src|href)=|https?://|@import|url\(", page)
     assert "Fish &amp; &lt;chips&gt;" in page and "<chips>" not in page
     assert page.count("<svg") == 2 and "render-plain-1 drains" in page
@@ -268,8 +268,8 @@
 
 
 def test_the_report_states_that_a_run_had_no_failures() -> None:
-    page = write(play(small_scenario(), 1))
-    assert "all four rules kept" in page and "a calm night" in page
+    page = render_html(play(small_scenario(), 1))
+    assert "all rules kept" in page and "<p>No events.</p>" in page
 
 
 def test_nothing_is_sent_for_clients_that_left_while_a_balancer_was_paused(
--- a/tests/rehearsal/test_roll.py
+++ b/tests/rehearsal/test_roll.py
@@ -13,12 +13,12 @@
     Discovery,
     Drain,
     Event,
-    Kind,
     ListDown,
     Network,
+    NodeKind,
     Pause,
     Reload,
-    Script,
+    Scenario,
     Stop,
     Tier,
 )
@@ -36,19 +36,19 @@
     length_s: float = 14.0,
     mode: Literal["ask", "push"] = "ask",
     latency_ms: float = 0.3,
-) -> Script:
+) -> Scenario:
     """Return a scenario in which discovery moves for all balancers within `move_within_s` seconds.
 
     A twelfth of the nodes drains every 1.5 s and returns after 3.8 s; the last do not return before the end.
     """
-    kinds = (Kind(name="fast", count=24, cores=2, speed=2.0), Kind(name="plain", count=24, cores=2))
+    kinds = (NodeKind(name="fast", count=24, cores=2, speed=2.0), NodeKind(name="plain", count=24, cores=2))
     events: list[Event] = [
         Reload(at_s=3.0 + move_within_s * i / balancers, balancer=f"b{i + 1}") for i in range(balancers)
     ]
     for i in range(6):
         draining = (f"render-*-{4 * i + 1}", f"render-*-{4 * i + 2}")
         events.append(Drain(at_s=4.0 + 1.5 * i, for_s=3.3, nodes=draining, back_s=0.5))
-    return Script(
+    return Scenario(
         version=1,
         title="A roll with a move",
         length_s=length_s,
@@ -106,5 +106,5 @@
 
 
 @pytest.mark.parametrize("scenario", HARD_CASES.values(), ids=HARD_CASES.keys())
-def test_drains_are_kept(scenario: Script) -> None:
+def test_drains_are_kept(scenario: Scenario) -> None:
     assert violation_texts(play(scenario, seed=2)) == []
