--- a/passpost/cli/diff.py
+++ b/passpost/cli/diff.py
@@ -1,4 +1,4 @@
-"""`passpost diff A B`: what changes from one operator's file to another, as behaviour."""
+"""`passpost diff A B`: describes the differences between two operator's files as behaviour."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import click
 
-from passpost.cli.command import UnusableError
+from passpost.cli.command import UnusableInputError
 from passpost.operator.diff import difference
 from passpost.operator.reader import UnreadableError
-from passpost.operator.sidecar import UnusableError as Refused
-from passpost.operator.sidecar import read
+from passpost.operator.sidecar import InvalidFileError as Refused
+from passpost.operator.sidecar import load_valid_file
 
 
 @click.command(name="diff")
@@ -19,14 +19,14 @@
 @click.argument("b")
 @click.option("--json", "as_json", is_flag=True, help="Print the changes as JSON.")
 def command(a: str, b: str, as_json: bool) -> int:
-    """Say what a sidecar would do otherwise with file B than with file A, and what needs a restart.
+    """Describe how a sidecar behaves differently with file B than with file A, and what needs a restart.
 
-    Exit status: 0 told (also when nothing differs), 2 a file that can't be used.
+    Exit status: 0 compared (even if nothing differs), 2 a file can't be used.
     """
     try:
-        changes = difference(read(a), read(b))
+        changes = difference(load_valid_file(a), load_valid_file(b))
     except (UnreadableError, Refused) as error:
-        raise UnusableError(str(error)) from None
+        raise UnusableInputError(str(error)) from None
     if as_json:
         click.echo(json.dumps([asdict(c) for c in changes], indent=2))
         return 0
--- a/passpost/cli/run.py
+++ b/passpost/cli/run.py
@@ -1,4 +1,4 @@
-"""`passpost run FILE`: the sidecar."""
+"""`passpost run FILE`: runs the sidecar."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import click
 import uvloop
 
-from passpost.cli.check import sentence
-from passpost.cli.command import UnusableError
+from passpost.cli.check import format_problem
+from passpost.cli.command import UnusableInputError
 from passpost.operator import sidecar
 from passpost.operator.reader import UnreadableError
 from passpost.signals import Signals
@@ -24,18 +24,18 @@
     type=click.IntRange(1, 256),
     default=1,
     show_default=True,
-    help="So many processes share the listeners, limits and shares, for machines with as many cores.",
+    help="Number of processes that share the listeners, limits and shares, for machines with as many cores.",
 )
 def command(file: str, workers: int) -> int:
-    """Serve the applications of an operator's FILE until SIGTERM, which answers what was taken first.
+    """Serve the applications of an operator's FILE until SIGTERM; accepted requests are answered before the exit.
 
-    SIGHUP reads FILE again: what can change at once does, the rest is logged as waiting for a restart, and a
+    SIGHUP reads FILE again: what can change at once is applied, the rest is logged as waiting for a restart, and a
     file with a mistake changes nothing.
 
-    With several workers one that ends unasked is started again, SIGTERM drains them one after the other as far as
-    `drain.kill_after_s` allows, and SIGHUP renews them in turn where a change needs a restart.
+    With several workers, one that exits unexpectedly is started again, SIGTERM drains them one after the other as far
+    as `drain.kill_after_s` allows, and SIGHUP replaces them one by one if a change needs a restart.
 
-    Exit status: 0 ended as told, 1 failed (a port is taken), 2 a file that can't be used.
+    Exit status: 0 stopped by a signal, 1 failed (such as a port in use), 2 a file that can't be used.
     """
     logging.basicConfig(level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     try:
@@ -45,11 +45,11 @@
             return asyncio.run(Supervisor(file, workers).run())
         uvloop.run(serve(file))
     except UnreadableError as error:
-        raise UnusableError(str(error)) from None
-    except sidecar.UnusableError as error:
+        raise UnusableInputError(str(error)) from None
+    except sidecar.InvalidFileError as error:
         for problem in error.problems:
-            click.echo(sentence(file, problem), err=True)
-        raise UnusableError(str(error)) from None
+            click.echo(format_problem(file, problem), err=True)
+        raise UnusableInputError(str(error)) from None
     except (OSError, ValueError) as error:
         click.echo(f"passpost: {file}: {error}", err=True)
         return 1
@@ -57,28 +57,28 @@
 
 
 async def serve(path: str) -> None:
-    """Run until SIGTERM or SIGINT."""
+    """Runs the sidecar until SIGTERM or SIGINT."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    running: list[sidecar.Sidecar] = []
+    sidecars: list[sidecar.Sidecar] = []
     before_stop = ExitStack()
 
     def reload() -> None:
-        for one in running:
-            sidecar.reload(one, path)
+        for running_sidecar in sidecars:
+            sidecar.reload(running_sidecar, path)
 
     signals = Signals(loop, reload, stop.set)
     if "PASSPOST_WORKERS" in os.environ:
-        from passpost.workers.supervisor import Worker, divided
+        from passpost.workers.supervisor import Worker, worker_share
 
         worker = Worker(os.environ)
         worker.follow_parent(stop)
-        running.append(sidecar.start(path, worker.host, lambda file: divided(file, worker.count)))
-        worker.is_ready()
+        sidecars.append(sidecar.start(path, worker.host, lambda file: worker_share(file, worker.count)))
+        worker.report_ready()
         before_stop.callback(worker.host.release)
     else:
-        running.append(sidecar.start(path))
+        sidecars.append(sidecar.start(path))
     await stop.wait()
     logging.getLogger("passpost").info("stopping: finishing what was taken")
     before_stop.close()
-    await running[0].stop()
+    await sidecars[0].stop()
     signals.ignore()
