--- a/passpost/callers/listener.py
+++ b/passpost/callers/listener.py
@@ -109,7 +109,7 @@
         self._socket.close()
 
     async def drain(self, within_s: float, closing_phase_s: float = CLOSING_PHASE_S) -> None:
-        """Shut down without losing a request: all are answered `within_s` seconds.
+        """Shut down without losing a request: all are answered within `within_s` seconds.
 
         At first only readiness ends and clients keep their connections. In the last `closing_phase_s` seconds of
         that time each answer closes its connection. Connections in the accept queue count as accepted, so the queue
